--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -10,8 +10,8 @@
 use super::files::{away, read_chunks, read_file, read_job};
 use super::node::{Asker, Node};
 use crate::clock;
-use crate::decide::jobs::{job_key, Counts, JobRecord, JobState};
-use crate::http::problem::{Kind, Problem};
+use crate::decide::jobs::{job_key, ItemCounts, JobRecord, JobState};
+use crate::http::problem::{Problem, RefusalKind};
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
 use crate::id;
@@ -49,7 +49,7 @@
         ("GET", []) => list(node, asker),
         ("GET", [job]) => show(node, asker, job),
         ("POST", [job, "cancel"]) => cancel(node, asker, job),
-        _ => Err(Problem::not_run(Kind::NotFound, request.path())),
+        _ => Err(Problem::not_run(RefusalKind::NotFound, request.path())),
     };
     match answer {
         Ok((value, replayed)) => {
@@ -74,13 +74,13 @@
         .filter(|w| !w.is_zero() && w.as_secs() <= WINDOW_MAX_H * 3600)
         .ok_or_else(|| {
             let detail = format!("completion_window {text:?}; 1s to {WINDOW_MAX_H}h are allowed");
-            Problem::not_run(Kind::BadRequest, detail)
+            Problem::not_run(RefusalKind::BadRequest, detail)
         })
 }
 
 fn create(node: &Node, asker: &Asker, request: &Request) -> Answer {
     let asked: Asked = serde_json::from_slice(&request.body)
-        .map_err(|error| Problem::not_run(Kind::BadRequest, format!("body: {error}")))?;
+        .map_err(|error| Problem::not_run(RefusalKind::BadRequest, format!("body: {error}")))?;
     let window = window(asked.completion_window.as_deref())?;
     let known = asked.endpoint.starts_with("/svc/")
         || ["/v1/chat/completions", "/v1/completions"].contains(&asked.endpoint.as_str());
@@ -89,7 +89,7 @@
             "endpoint {:?}; /v1/chat/completions, /v1/completions and /svc/... are allowed",
             asked.endpoint
         );
-        return Err(Problem::not_run(Kind::BadRequest, detail));
+        return Err(Problem::not_run(RefusalKind::BadRequest, detail));
     }
     let file = read_file(node, asker, &asked.input_file_id)?;
     // Without a key, the same content sent again is the same job.
@@ -112,9 +112,9 @@
         created_ms: now_ms,
         deadline_ms: now_ms + window.as_millis() as u64,
         ended_ms: None,
-        counts: Counts {
+        counts: ItemCounts {
             total: file.lines,
-            ..Counts::default()
+            ..ItemCounts::default()
         },
         nonce: util::nonce(),
     };
@@ -133,7 +133,7 @@
                 .map_err(|error| away(&format!("the first job's record: {error}")))?;
             if first.file != record.file || first.endpoint != record.endpoint {
                 let detail = "this Idempotency-Key was used for another job";
-                return Err(Problem::not_run(Kind::Conflict, detail));
+                return Err(Problem::not_run(RefusalKind::Conflict, detail));
             }
             Ok((shown(&first), true))
         }
@@ -216,7 +216,7 @@
             let detail = "the job has ended";
             return Err(Problem {
                 not_run: false,
-                ..Problem::not_run(Kind::Conflict, detail)
+                ..Problem::not_run(RefusalKind::Conflict, detail)
             });
         };
         let text = serde_json::to_string(&cancelled).unwrap_or_default();
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -2,7 +2,7 @@
 
 use std::sync::mpsc::Sender;
 
-use crate::decide::batch::place::Crew;
+use crate::decide::batch::place::BatchPeers;
 use crate::id::{EndpointId, OwnerId, ServiceId};
 use crate::wire::ToBatch;
 
@@ -13,7 +13,7 @@
     /// The batch process that is linked and takes on work; 0 for none.
     pub batch: OwnerId,
     pub windows: Vec<(EndpointId, ServiceId, u32)>,
-    pub crew: Crew,
+    pub crew: BatchPeers,
 }
 
 impl Links {
--- a/src/entry/node.rs
+++ b/src/entry/node.rs
@@ -18,7 +18,7 @@
 use crate::clock;
 use crate::config::Versioned;
 use crate::decide::fleet::{self, Fleet};
-use crate::decide::members::Card;
+use crate::decide::members::VmStatus;
 use crate::decide::online::{Action, Event, Online};
 use crate::engine::Engines;
 use crate::id::{self, ConfigVersion, EndpointId, Name, RequestId};
@@ -79,7 +79,7 @@
 impl Node {
     /// A process that has not opened anything yet.
     pub fn new(settings: Entry) -> Arc<Node> {
-        let card = Card {
+        let card = VmStatus {
             vm: id::of(&settings.name),
             name: settings.name.clone(),
             domain: id::of(&settings.failure_domain),
@@ -183,7 +183,7 @@
         self.leaving.store(true, Ordering::SeqCst);
         let mut core = lock(&self.core);
         core.fleet.card.leaving = true;
-        core.fleet.tell_now();
+        core.fleet.send_now();
         lock(&self.links).send(ToBatch::Leave);
         drop(core);
         self.tick();
@@ -245,7 +245,7 @@
         if domain != Some(core.fleet.card.domain) {
             return;
         }
-        match core.fleet.home(endpoint) {
+        match core.fleet.assigned_vm(endpoint) {
             Some(home) if home == core.fleet.card.vm => self.push_windows(now, core),
             // Only the first one is told: while it is there, heartbeats tell of it.
             Some(home) if online == 1 => {
@@ -355,10 +355,10 @@
             return false;
         }
         let plan = Arc::new(Plan::new(Arc::new(versioned)));
-        core.online.endpoints.declare(plan.endpoints());
+        core.online.endpoints.configure(plan.endpoints());
         core.online.services = plan.services();
         core.fleet.card.config = version;
-        core.fleet.tell_now();
+        core.fleet.send_now();
         core.plan = Some(plan.clone());
         let config = ToBatch::Config(Box::new((*plan.versioned).clone()));
         lock(&self.links).send(config);
--- a/src/entry/online.rs
+++ b/src/entry/online.rs
@@ -11,10 +11,10 @@
 use super::node::{Asker, Errand, Node};
 use crate::clock;
 use crate::config::Service;
-use crate::decide::online::{Action, Arrival, Event, Outcome};
-use crate::decide::retry::{Reach, TRIES_MAX};
+use crate::decide::online::{Action, Arrival, AttemptOutcome, Event};
+use crate::decide::retry::{AttemptStage, TRIES_MAX};
 use crate::engine::{self, Answer, Call, Events, Fault, Started};
-use crate::http::problem::{Kind, Problem};
+use crate::http::problem::{Problem, RefusalKind};
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
 use crate::id::{self, EndpointId, Name, RequestId};
@@ -129,9 +129,9 @@
                         attempt: format!("{}-{attempt}", self.name),
                     },
                     // The configuration changed between admission and now.
-                    None => {
-                        Next::Refuse(Problem::not_run(Kind::NoEndpoint, "gone").after(RETRY_SOON))
-                    }
+                    None => Next::Refuse(
+                        Problem::not_run(RefusalKind::NoEndpoint, "gone").after(RETRY_SOON),
+                    ),
                 }
             }
             // Its engine client has timeouts of its own.
@@ -152,7 +152,7 @@
             }
             Err(_) => {
                 let detail = format!("request {}", self.name);
-                Next::Refuse(Problem::maybe_run(Kind::DeadlinePassed, detail))
+                Next::Refuse(Problem::maybe_run(RefusalKind::DeadlinePassed, detail))
             }
         }
     }
@@ -163,7 +163,7 @@
     }
 
     /// Tells how a try ended.
-    pub fn ended(&self, outcome: Outcome) {
+    pub fn ended(&self, outcome: AttemptOutcome) {
         self.node.online(Event::Ended {
             request: self.request,
             outcome,
@@ -174,7 +174,7 @@
     pub fn failed(&self, fault: &Fault) {
         info!(request = self.name.as_str(), workspace = &*self.asker.workspace;
             "try failed: {}", fault.detail);
-        self.ended(Outcome::Failed {
+        self.ended(AttemptOutcome::Failed {
             reach: fault.reach,
             blame: fault.blame,
             ended: false,
@@ -211,7 +211,7 @@
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
         // Whatever way the handler left, nothing stays in the tables. After an end this is no news.
-        self.ended(Outcome::Abandoned);
+        self.ended(AttemptOutcome::Abandoned);
         self.node.unregister(self.request);
     }
 }
@@ -242,7 +242,7 @@
         Ok(asked) => asked,
         Err(error) => {
             return out.problem(&Problem::not_run(
-                Kind::BadRequest,
+                RefusalKind::BadRequest,
                 format!("body: {error}"),
             ));
         }
@@ -252,7 +252,7 @@
             "model {:?}; GET /v1/models lists what there is",
             asked.model
         );
-        return out.problem(&Problem::not_run(Kind::NotFound, detail));
+        return out.problem(&Problem::not_run(RefusalKind::NotFound, detail));
     };
     let ticket = Ticket::open(node, asker, request, service, asked.prefix(), true);
     loop {
@@ -293,7 +293,7 @@
 fn try_whole(ticket: &Ticket<'_>, call: Call<'_>, out: &mut Responder) -> io::Result<bool> {
     match ticket.node.engines.call(call, true) {
         Ok(answer) => {
-            ticket.ended(Outcome::Done);
+            ticket.ended(AttemptOutcome::Done);
             ticket.count("answered");
             send_whole(ticket, &answer, out)?;
             Ok(true)
@@ -315,7 +315,7 @@
     let mut events = match ticket.node.engines.stream(call) {
         Ok(Started::Stream(events)) => events,
         Ok(Started::Whole(answer)) => {
-            ticket.ended(Outcome::Done);
+            ticket.ended(AttemptOutcome::Done);
             ticket.count("answered");
             send_whole(ticket, &answer, out)?;
             return Ok(true);
@@ -330,7 +330,7 @@
     loop {
         let fault = match forward(ticket, &mut events, &mut sent, out) {
             Forwarded::Done => {
-                ticket.ended(Outcome::Done);
+                ticket.ended(AttemptOutcome::Done);
                 ticket.count("answered");
                 return out.end().map(|()| true);
             }
@@ -358,7 +358,7 @@
             return Ok(false);
         }
         ticket.failed(&Fault {
-            reach: Reach::Answering,
+            reach: AttemptStage::Answering,
             ..fault.clone()
         });
         ticket.count("broken");
@@ -414,7 +414,7 @@
 }
 
 fn give_up(ticket: &Ticket<'_>, call: Call<'_>) {
-    ticket.ended(Outcome::Abandoned);
+    ticket.ended(AttemptOutcome::Abandoned);
     let _ = ticket.node.errands.send(Errand::Cancel {
         address: call.address.into(),
         attempt: call.attempt.to_owned(),
@@ -424,7 +424,7 @@
 /// Ends a stream that can't be completed so that no caller takes it for whole: an error event, no
 /// end marker, and a chunked body without its last chunk.
 fn break_off(fault: &Fault, out: &mut Responder) -> io::Result<()> {
-    let name: &'static str = Kind::EndpointFailed.into();
+    let name: &'static str = RefusalKind::EndpointFailed.into();
     let error = json!({ "error": { "type": name, "message": fault.detail } });
     out.chunk(format!("event: error\ndata: {error}\n\n").as_bytes())
 }
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -78,7 +78,7 @@
             "limit": row.limit.slots(),
             "online_here": row.online_here,
             "online_elsewhere": row.online_elsewhere,
-            "home": core.fleet.home(row.id) == Some(core.fleet.card.vm),
+            "home": core.fleet.assigned_vm(row.id) == Some(core.fleet.card.vm),
             "first_token_ms": row.first_token_ms,
             "ejected_ms": row.ejected_until.saturating_sub(now).as_millis() as u64,
             "report": row.report,
@@ -129,7 +129,7 @@
         .endpoints
         .rows
         .iter()
-        .filter(|row| core.fleet.home(row.id) == Some(core.fleet.card.vm))
+        .filter(|row| core.fleet.assigned_vm(row.id) == Some(core.fleet.card.vm))
         .collect();
     if homes.is_empty() {
         return "other VMs: this one is home of no endpoint".into();
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -13,7 +13,7 @@
 use crate::clock;
 use crate::config::ServiceKind;
 use crate::decide::commit::Answer;
-use crate::decide::orders::{Action, FenceRecord, Orders, Wanted, LEASE};
+use crate::decide::orders::{Action, EndpointModels, FenceRecord, Orders, LEASE};
 use crate::id::{self, Epoch, Name};
 use crate::util::{self, lock};
 
@@ -57,7 +57,7 @@
 }
 
 /// What each endpoint of the own failure domain should have loaded.
-fn wanted(core: &Core) -> Vec<Wanted> {
+fn wanted(core: &Core) -> Vec<EndpointModels> {
     let Some(plan) = &core.plan else {
         return Vec::new();
     };
@@ -68,7 +68,7 @@
     rows.filter_map(|row| {
         let models = models_of(plan, row.declared.service)?;
         let reported = row.report.as_ref().map(|report| report.models.clone());
-        Some(Wanted {
+        Some(EndpointModels {
             endpoint: row.id,
             models,
             reported,
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -6,11 +6,13 @@
 use super::node::{Asker, Node};
 use super::online::{Next, Ticket};
 use crate::config::{Service, ServiceKind};
-use crate::decide::intents::{Answered, Ask, Mark, Verdict, ANSWER_BYTES};
-use crate::decide::online::Outcome;
-use crate::decide::retry::Reach;
+use crate::decide::intents::{
+    IntentRecord, IntentRequest, IntentVerdict, RecordedAnswer, ANSWER_BYTES,
+};
+use crate::decide::online::AttemptOutcome;
+use crate::decide::retry::AttemptStage;
 use crate::engine::{Answer, Call, Fault};
-use crate::http::problem::{Kind, Problem};
+use crate::http::problem::{Problem, RefusalKind};
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
 use crate::id;
@@ -35,7 +37,7 @@
         .filter(|s| s.kind == ServiceKind::Plain);
     let Some(service) = service else {
         let detail = format!("plain service {name:?}");
-        return out.problem(&Problem::not_run(Kind::NotFound, detail));
+        return out.problem(&Problem::not_run(RefusalKind::NotFound, detail));
     };
     let path = match &rest[name.len()..] {
         "" => "/",
@@ -44,7 +46,7 @@
     let key = request.header("Idempotency-Key");
     if key.is_some_and(|key| key.is_empty() || key.len() > KEY_BYTES) {
         let detail = format!("Idempotency-Key of 1 to {KEY_BYTES} bytes");
-        return out.problem(&Problem::not_run(Kind::BadRequest, detail));
+        return out.problem(&Problem::not_run(RefusalKind::BadRequest, detail));
     }
     let call = Forward {
         node,
@@ -82,33 +84,34 @@
         let scope = format!("{}\n{}\n{key}", self.asker.workspace, self.service.name);
         let intent = id::digest(scope.as_bytes());
         let content = self.content_digest();
-        match intent::ask(self.node, intent.clone(), Ask::Begin { content }) {
-            Verdict::Go => {}
-            Verdict::Replay(answered) => return replay(&answered, out),
-            Verdict::Begun => {
+        match intent::ask(self.node, intent.clone(), IntentRequest::Begin { content }) {
+            IntentVerdict::Go => {}
+            IntentVerdict::Replay(answered) => return replay(&answered, out),
+            IntentVerdict::Begun => {
                 let detail = "a request with this key was begun; its outcome is not recorded";
-                let problem = Problem::maybe_run(Kind::OutcomeUnknown, detail).after(RETRY_SOON);
+                let problem =
+                    Problem::maybe_run(RefusalKind::OutcomeUnknown, detail).after(RETRY_SOON);
                 return self.refuse(&problem, out);
             }
-            Verdict::Mismatch => {
+            IntentVerdict::Mismatch => {
                 let detail = "this Idempotency-Key was used for another request";
-                return self.refuse(&Problem::not_run(Kind::Conflict, detail), out);
+                return self.refuse(&Problem::not_run(RefusalKind::Conflict, detail), out);
             }
-            Verdict::Away => {
+            IntentVerdict::Away => {
                 let detail = "it can't be recorded that this request was begun";
-                let problem = Problem::not_run(Kind::PlatformAway, detail).after(RETRY_SOON);
+                let problem = Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_SOON);
                 return self.refuse(&problem, out);
             }
         }
         let ended = self.try_all(Some(key));
         let mark = match &ended {
-            Ended::Answered(answer) => Some(Mark::Answered(answered(answer))),
-            Ended::NotRun(_) => Some(Mark::Released),
+            Ended::Answered(answer) => Some(IntentRecord::Answered(answered(answer))),
+            Ended::NotRun(_) => Some(IntentRecord::Released),
             Ended::Unknown(_) => None,
         };
         if let Some(mark) = mark {
             // A refusal that says "not run" is followed by the same key: it must find it released.
-            intent::ask(self.node, intent, Ask::End(mark));
+            intent::ask(self.node, intent, IntentRequest::End(mark));
         }
         self.send(ended, out)
     }
@@ -156,7 +159,7 @@
             };
             match self.node.engines.call(call, idempotent) {
                 Ok(answer) => {
-                    ticket.ended(Outcome::Done);
+                    ticket.ended(AttemptOutcome::Done);
                     return Ended::Answered(answer);
                 }
                 Err(fault) => ticket.failed(&self.judge(fault)),
@@ -168,8 +171,8 @@
     /// refusal is no proof for a call that may not be repeated.
     fn judge(&self, fault: Fault) -> Fault {
         match fault.reach {
-            Reach::Refused if !self.service.idempotent => Fault {
-                reach: Reach::MaybeSent,
+            AttemptStage::Refused if !self.service.idempotent => Fault {
+                reach: AttemptStage::MaybeSent,
                 ..fault
             },
             _ => fault,
@@ -204,24 +207,24 @@
     }
 }
 
-fn answered(answer: &Answer) -> Answered {
+fn answered(answer: &Answer) -> RecordedAnswer {
     let text = std::str::from_utf8(&answer.body)
         .ok()
         .filter(|text| text.len() <= ANSWER_BYTES);
-    Answered {
+    RecordedAnswer {
         status: answer.status,
         content_type: answer.content_type.clone(),
         body: text.map(str::to_owned),
     }
 }
 
-fn replay(answered: &Answered, out: &mut Responder) -> io::Result<()> {
+fn replay(answered: &RecordedAnswer, out: &mut Responder) -> io::Result<()> {
     let Some(body) = &answered.body else {
         let detail = format!(
             "it ran, with status {}; its answer was not kept",
             answered.status
         );
-        return out.problem(&Problem::maybe_run(Kind::Conflict, detail));
+        return out.problem(&Problem::maybe_run(RefusalKind::Conflict, detail));
     };
     let head =
         Head::new(answered.status, &answered.content_type).with("Idempotent-Replayed", "true");
--- a/src/entry/plan.rs
+++ b/src/entry/plan.rs
@@ -5,9 +5,9 @@
 
 use crate::config::{Service, ServiceKind, State, Versioned};
 use crate::decide::access::{KeyDigest, KeyTable};
-use crate::decide::endpoints::Declared;
+use crate::decide::endpoints::EndpointConfig;
 use crate::decide::online;
-use crate::decide::window::Knob;
+use crate::decide::window::BatchWeight;
 use crate::http::Request;
 use crate::id::{self, EndpointId, Name, ServiceId};
 use crate::settings::ms;
@@ -18,7 +18,7 @@
     pub versioned: Arc<Versioned>,
     keys: KeyTable,
     addresses: HashMap<EndpointId, Name>,
-    knobs: HashMap<ServiceId, Knob>,
+    knobs: HashMap<ServiceId, BatchWeight>,
 }
 
 impl Plan {
@@ -45,7 +45,7 @@
                 .map(|s| {
                     (
                         id::of(&s.name),
-                        Knob {
+                        BatchWeight {
                             online_weight: s.online_weight,
                         },
                     )
@@ -77,15 +77,15 @@
     }
 
     /// The knob of a service.
-    pub fn knob(&self, service: ServiceId) -> Knob {
+    pub fn knob(&self, service: ServiceId) -> BatchWeight {
         self.knobs
             .get(&service)
             .copied()
-            .unwrap_or(Knob { online_weight: 1.0 })
+            .unwrap_or(BatchWeight { online_weight: 1.0 })
     }
 
     /// The endpoints as the table takes them.
-    pub fn endpoints(&self) -> Vec<(EndpointId, Declared)> {
+    pub fn endpoints(&self) -> Vec<(EndpointId, EndpointConfig)> {
         let state = self.state();
         let limits: HashMap<&Name, u32> = state
             .services
@@ -93,7 +93,7 @@
             .map(|s| (&s.name, s.initial_limit))
             .collect();
         let declared = state.endpoints.iter().map(|endpoint| {
-            let declared = Declared {
+            let declared = EndpointConfig {
                 name: endpoint.name.clone(),
                 domain: id::of(&endpoint.failure_domain),
                 service: id::of(&endpoint.service),
@@ -106,7 +106,7 @@
     }
 
     /// The services as admission takes them.
-    pub fn services(&self) -> HashMap<ServiceId, online::Service> {
+    pub fn services(&self) -> HashMap<ServiceId, online::ServiceConfig> {
         let state = self.state();
         state
             .services
@@ -115,13 +115,13 @@
             .collect()
     }
 
-    fn service(&self, service: &Service) -> online::Service {
+    fn service(&self, service: &Service) -> online::ServiceConfig {
         let shares = self
             .state()
             .shares
             .iter()
             .filter(|share| share.service == service.name);
-        online::Service {
+        online::ServiceConfig {
             first_token_goal: ms(service.first_token_ms),
             queue_limit: service.queue_limit as usize,
             max_in_flight: service.max_in_flight as usize,
--- a/src/entry/question.rs
+++ b/src/entry/question.rs
@@ -2,11 +2,11 @@
 
 use std::sync::mpsc::Sender;
 
-use crate::decide::intents::{Ask, IntentKey, Verdict};
+use crate::decide::intents::{IntentKey, IntentRequest, IntentVerdict};
 
 /// A question to the thread of a range.
 pub struct Question {
     pub key: IntentKey,
-    pub ask: Ask,
-    pub answer: Sender<Verdict>,
+    pub ask: IntentRequest,
+    pub answer: Sender<IntentVerdict>,
 }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -16,7 +16,7 @@
 use crate::config::store::{self, HEAD_KEY, LIVE_PREFIX};
 use crate::config::Versioned;
 use crate::decide::jobs::JobRecord;
-use crate::decide::members::Card;
+use crate::decide::members::VmStatus;
 use crate::id::{self, Revision};
 use crate::platform::{Entry, ListedVm, Platform};
 use crate::settings::ms;
@@ -48,15 +48,15 @@
 /// VMs named in the settings: sent to before anything is known of them.
 fn seed_peers(node: &Node) {
     let seeds = node.settings.peers.iter();
-    let cards: Vec<Card> = seeds.map(|address| seed_card(node, *address)).collect();
+    let cards: Vec<VmStatus> = seeds.map(|address| seed_card(node, *address)).collect();
     let mut core = lock(&node.core);
     let own = core.fleet.card.clone();
-    core.fleet.members.listed(&own, cards);
+    core.fleet.members.apply_vm_list(&own, cards);
 }
 
-fn seed_card(node: &Node, address: SocketAddr) -> Card {
+fn seed_card(node: &Node, address: SocketAddr) -> VmStatus {
     let name = format!("seed-{address}");
-    Card {
+    VmStatus {
         vm: id::of(&name),
         name: name.into(),
         domain: id::of(&node.settings.failure_domain),
@@ -164,7 +164,7 @@
     if after <= core.jobs.revision && revision > core.jobs.revision {
         core.jobs.revision = revision;
         core.fleet.card.jobs = revision;
-        core.fleet.tell_now();
+        core.fleet.send_now();
         node.push_jobs(&core);
     }
 }
@@ -176,18 +176,18 @@
         if first || delegate {
             if let Ok(vms) = node.platform.vms() {
                 first = false;
-                let cards: Vec<Card> = vms.iter().filter_map(card_of).collect();
+                let cards: Vec<VmStatus> = vms.iter().filter_map(card_of).collect();
                 let mut core = lock(&node.core);
                 let own = core.fleet.card.clone();
-                core.fleet.members.listed(&own, cards);
+                core.fleet.members.apply_vm_list(&own, cards);
             }
         }
         clock::sleep(LIST_PAUSE);
     }
 }
 
-fn card_of(vm: &ListedVm) -> Option<Card> {
-    Some(Card {
+fn card_of(vm: &ListedVm) -> Option<VmStatus> {
+    Some(VmStatus {
         vm: id::of(&vm.name),
         name: vm.name.clone(),
         domain: id::of(&vm.failure_domain),
--- a/src/http/problem.rs
+++ b/src/http/problem.rs
@@ -5,12 +5,12 @@
 use serde::Serialize;
 use strum::EnumMessage;
 
-pub use crate::decide::refusal::Kind;
+pub use crate::decide::refusal::RefusalKind;
 
 /// A refusal or failure as the caller sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Problem {
-    pub kind: Kind,
+    pub kind: RefusalKind,
     pub detail: String,
     /// True only when no endpoint can have got a byte of the request.
     pub not_run: bool,
@@ -32,7 +32,7 @@
 
 impl Problem {
     /// A problem that arose before any endpoint was chosen.
-    pub fn not_run(kind: Kind, detail: impl Into<String>) -> Problem {
+    pub fn not_run(kind: RefusalKind, detail: impl Into<String>) -> Problem {
         Problem {
             kind,
             detail: detail.into(),
@@ -42,7 +42,7 @@
     }
 
     /// A problem after an endpoint may have got some of the request.
-    pub fn maybe_run(kind: Kind, detail: impl Into<String>) -> Problem {
+    pub fn maybe_run(kind: RefusalKind, detail: impl Into<String>) -> Problem {
         Problem {
             kind,
             detail: detail.into(),
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -9,7 +9,7 @@
 
 use bytes::{Bytes, BytesMut};
 
-use super::problem::{Kind, Problem};
+use super::problem::{Problem, RefusalKind};
 use super::Request;
 use crate::clock;
 
@@ -160,7 +160,8 @@
 
 /// Answers one connection over the limit at once, without a thread for it.
 fn refuse(mut stream: TcpStream) {
-    let problem = Problem::not_run(Kind::ServiceFull, "too many connections").after(REFUSAL_RETRY);
+    let problem =
+        Problem::not_run(RefusalKind::ServiceFull, "too many connections").after(REFUSAL_RETRY);
     let _ = stream.set_nonblocking(true);
     let _ = stream.write_all(&full_response(
         &problem_head(&problem),
@@ -439,7 +440,7 @@
         let until = clock::now() + self.shared.limits.head_timeout;
         let slow = || {
             Next::Refused(Problem::not_run(
-                Kind::SlowRequest,
+                RefusalKind::SlowRequest,
                 "head not whole in time",
             ))
         };
@@ -451,7 +452,10 @@
                 }
                 Ok(None) if self.buffer.len() > self.shared.limits.head_bytes => {
                     let detail = format!("at most {} bytes", self.shared.limits.head_bytes);
-                    return Ok(Next::Refused(Problem::not_run(Kind::HeadTooLarge, detail)));
+                    return Ok(Next::Refused(Problem::not_run(
+                        RefusalKind::HeadTooLarge,
+                        detail,
+                    )));
                 }
                 Ok(None) => {}
                 Err(problem) => return Ok(Next::Refused(problem)),
@@ -485,7 +489,7 @@
 
     fn too_large(&self) -> Problem {
         let detail = format!("a body of at most {} bytes", self.shared.limits.body_bytes);
-        Problem::not_run(Kind::TooLarge, detail)
+        Problem::not_run(RefusalKind::TooLarge, detail)
     }
 
     fn read_length(
@@ -518,7 +522,12 @@
                         Some(_) => continue,
                     }
                 }
-                _ => return Ok(Err(Problem::not_run(Kind::BadRequest, "bad chunk size"))),
+                _ => {
+                    return Ok(Err(Problem::not_run(
+                        RefusalKind::BadRequest,
+                        "bad chunk size",
+                    )))
+                }
             };
             if body.len().saturating_add(size) > self.shared.limits.body_bytes {
                 return Ok(Err(self.too_large()));
@@ -530,7 +539,7 @@
                 }
                 Ok(Some(_)) => {
                     return Ok(Err(Problem::not_run(
-                        Kind::BadRequest,
+                        RefusalKind::BadRequest,
                         "chunk without its end",
                     )))
                 }
@@ -544,7 +553,7 @@
 }
 
 fn slow_body() -> Problem {
-    Problem::not_run(Kind::SlowRequest, "body not whole in time")
+    Problem::not_run(RefusalKind::SlowRequest, "body not whole in time")
 }
 
 fn is_timeout(error: &io::Error) -> bool {
@@ -563,9 +572,9 @@
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => {
             let detail = format!("at most {MAX_HEADERS} headers");
-            return Err(Problem::not_run(Kind::HeadTooLarge, detail));
+            return Err(Problem::not_run(RefusalKind::HeadTooLarge, detail));
         }
-        Err(error) => return Err(Problem::not_run(Kind::BadRequest, error.to_string())),
+        Err(error) => return Err(Problem::not_run(RefusalKind::BadRequest, error.to_string())),
     };
     let request = Request {
         method: parsed.method.unwrap_or_default().to_owned(),
@@ -589,7 +598,7 @@
 /// How the body's end is known; a request that tells it in two ways is refused, since a proxy
 /// before us might read the other one and take part of the body for a request of its own.
 fn body_kind(request: &Request) -> Result<Body, Problem> {
-    let bad = |detail: &str| Err(Problem::not_run(Kind::BadRequest, detail));
+    let bad = |detail: &str| Err(Problem::not_run(RefusalKind::BadRequest, detail));
     let lengths: Vec<&str> = request
         .headers
         .iter()
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -18,7 +18,7 @@
 use super::outcome::Outcome;
 use crate::decide::endpoints::Endpoints;
 use crate::decide::items::{ItemKey, Items};
-use crate::decide::online::{Online, Service};
+use crate::decide::online::{Online, ServiceConfig};
 use crate::decide::routing::Policy;
 use crate::decide::usage::Usage;
 use crate::id::{self, DomainId, EndpointId, RequestId, VmId};
@@ -142,7 +142,7 @@
         let mut endpoints = Endpoints::default();
         let slots = plan.engine.slots as f64;
         let domain = |at: usize| at as u64 % plan.domains;
-        endpoints.declare(declared(plan.engines, SERVICE, slots, domain));
+        endpoints.configure(declared(plan.engines, SERVICE, slots, domain));
         let order: Vec<EndpointId> = endpoints.rows.iter().map(|row| row.id).collect();
         let engine = |id: &EndpointId| (*id, Engine::new(plan.engine.clone()));
         let vm = |at: u64| {
@@ -321,8 +321,8 @@
     vm.items.note_uses(now, &mut vm.online.endpoints, &vm.usage);
 }
 
-fn service(load: &Load) -> Service {
-    Service {
+fn service(load: &Load) -> ServiceConfig {
+    ServiceConfig {
         first_token_goal: load.goal,
         queue_limit: 256,
         max_in_flight: 2000,
--- a/src/model/fleet/batch.rs
+++ b/src/model/fleet/batch.rs
@@ -1,8 +1,8 @@
 //! Batch items of a played fleet.
 
 use super::{note_uses, Fleet, Of, Run};
-use crate::decide::items::{self, ItemKey, Planner};
-use crate::decide::turns::Rival;
+use crate::decide::items::{self, ItemKey, ItemPlanner};
+use crate::decide::slot_grants::CompetingVm;
 use crate::id::{DomainId, EndpointId, VmId};
 use crate::model::engine::{Part, Seen, Sent, Work};
 
@@ -12,16 +12,16 @@
         let vm = &mut self.vms[at];
         vm.plan_now = false;
         note_uses(vm, now);
-        let rival = |(vm, (domain, items)): (&VmId, &(DomainId, u32))| Rival {
+        let rival = |(vm, (domain, items)): (&VmId, &(DomainId, u32))| CompetingVm {
             vm: *vm,
             domain: *domain,
             items: *items,
         };
-        let rivals: Vec<Rival> = match self.plan.turns {
+        let rivals: Vec<CompetingVm> = match self.plan.turns {
             true => vm.waiting.iter().map(rival).collect(),
             false => Vec::new(),
         };
-        let own = Planner {
+        let own = ItemPlanner {
             vm: vm.id,
             domain: vm.domain,
             rivals: &rivals,
--- a/src/model/fleet/online.rs
+++ b/src/model/fleet/online.rs
@@ -5,8 +5,8 @@
 use rand::Rng;
 
 use super::{Fleet, Of, Run, RETRY_PART, SERVICE, WORKSPACE};
-use crate::decide::online::{self, Event, Outcome as Ended};
-use crate::decide::retry::Reach;
+use crate::decide::online::{self, AttemptOutcome as Ended, Event};
+use crate::decide::retry::AttemptStage;
 use crate::id::{EndpointId, RequestId};
 use crate::model::engine::{Seen, Sent, Work};
 
@@ -70,7 +70,7 @@
             return;
         }
         let outcome = Ended::Failed {
-            reach: Reach::Refused,
+            reach: AttemptStage::Refused,
             blame: false,
             ended: false,
         };
@@ -87,7 +87,7 @@
             return;
         };
         row.batch = here + elsewhere;
-        let crowded = row.crowded(now);
+        let crowded = row.may_queue(now);
         vm.plan_now |= crowded && here > 0;
         if crowded && elsewhere > 0 {
             vm.near_at = Duration::ZERO;
--- a/src/model/fleet/talk.rs
+++ b/src/model/fleet/talk.rs
@@ -6,14 +6,14 @@
 use rand::Rng;
 
 use super::{Fleet, Vm};
-use crate::decide::usage::Use;
+use crate::decide::usage::EndpointUse;
 use crate::id::{DomainId, EndpointId, VmId};
 
 /// What a VM tells.
 pub(super) struct Beat {
     from: VmId,
     domain: DomainId,
-    uses: Vec<(EndpointId, Use)>,
+    uses: Vec<(EndpointId, EndpointUse)>,
     waiting: u32,
 }
 
@@ -48,7 +48,9 @@
         let due: Vec<_> = self.beats.extract_if(.., due).collect();
         for (_, to, beat) in due {
             let vm = &mut self.vms[to];
-            let touched = vm.usage.said(now, beat.from, beat.uses.iter().cloned());
+            let touched = vm
+                .usage
+                .apply_report(now, beat.from, beat.uses.iter().cloned());
             let endpoints = &mut vm.online.endpoints;
             vm.plan_now |= vm.items.note_uses_at(now, endpoints, &vm.usage, &touched);
             match beat.waiting {
@@ -63,7 +65,7 @@
     let placed = vm.items.placed(now);
     let rows = vm.online.endpoints.rows.iter().map(|row| {
         let here = placed.get(&row.id).copied().unwrap_or_default();
-        let uses = Use {
+        let uses = EndpointUse {
             online: row.online_here as u16,
             batch: here.batch as u16,
             urgent: here.urgent as u16,
@@ -73,7 +75,9 @@
     Beat {
         from: vm.id,
         domain: vm.domain,
-        uses: rows.filter(|(_, one)| *one != Use::default()).collect(),
+        uses: rows
+            .filter(|(_, one)| *one != EndpointUse::default())
+            .collect(),
         waiting: vm.items.waiting() as u32,
     }
 }
--- a/src/segments.rs
+++ b/src/segments.rs
@@ -6,7 +6,7 @@
 use snafu::Snafu;
 
 use crate::clock;
-use crate::decide::jobs::{part_key, segment_key, Place, Segment};
+use crate::decide::jobs::{part_key, segment_key, ContentLocation, Segment};
 use crate::id::{self, ranked, Name};
 use crate::peer;
 use crate::platform::{Platform, Settled, VALUE_BYTES};
@@ -61,18 +61,18 @@
         })
     }
 
-    fn store_inline(&self, digest: &str, content: &Bytes) -> Result<Place, Error> {
+    fn store_inline(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let text = String::from_utf8_lossy(content);
         let until = clock::now() + PATIENCE;
         match self.platform.commit(&segment_key(digest), 0, &text, until) {
             // The same digest is the same content, whoever wrote it.
-            Settled::Won(_) | Settled::Lost(Some(_)) => Ok(Place::Inline),
+            Settled::Won(_) | Settled::Lost(Some(_)) => Ok(ContentLocation::Inline),
             _ => PlatformSnafu.fail(),
         }
     }
 
     /// Keeps content that no value holds, where no VM has a disk, as several values.
-    fn store_parts(&self, digest: &str, content: &Bytes) -> Result<Place, Error> {
+    fn store_parts(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let Ok(text) = std::str::from_utf8(content) else {
             return TooLargeSnafu {
                 bytes: content.len(),
@@ -95,10 +95,10 @@
                 _ => return PlatformSnafu.fail(),
             }
         }
-        Ok(Place::Parts(parts.len() as u32))
+        Ok(ContentLocation::Parts(parts.len() as u32))
     }
 
-    fn store_bulk(&self, digest: &str, content: &Bytes) -> Result<Place, Error> {
+    fn store_bulk(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let mut domains: Vec<&Name> = Vec::new();
         let mut names = Vec::new();
         let ask = PeerAsk::Put {
@@ -125,7 +125,7 @@
             }
             .fail();
         }
-        Ok(Place::Bulk(names))
+        Ok(ContentLocation::Bulk(names))
     }
 
     /// All VMs with disks, those that should hold this content first.
@@ -142,9 +142,9 @@
     pub fn load(&self, segment: &Segment) -> Result<Bytes, Error> {
         let digest = &segment.digest;
         let names = match &segment.place {
-            Place::Inline => return self.load_inline(digest),
-            Place::Parts(count) => return self.load_parts(digest, *count),
-            Place::Bulk(names) => names,
+            ContentLocation::Inline => return self.load_inline(digest),
+            ContentLocation::Parts(count) => return self.load_parts(digest, *count),
+            ContentLocation::Bulk(names) => names,
         };
         // Repair may have moved copies since the record was written: ask those named first.
         let mut peers = self.ranked(digest);
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -7,8 +7,10 @@
 use super::node::Node;
 use super::replies::{self, Reply};
 use crate::clock;
-use crate::decide::backlog::{self, Reservations, Reserved, RouteKey, View, Way, RETURN_MIN};
-use crate::decide::refusal::Kind;
+use crate::decide::backlog::{
+    self, AdmissionPath, BacklogView, Reservations, Reserved, RouteKey, RETURN_MIN,
+};
+use crate::decide::refusal::RefusalKind;
 use crate::decide::routes::Route;
 use crate::decide::small_jobs::Record;
 use crate::id::{JobId, Name, Revision};
@@ -38,7 +40,9 @@
         let now = clock::now();
         let view = view(node, now, key, limit_tokens);
         let mut core = node.core.borrow_mut();
-        let way = core.backlog.ask(now, key, &asked.job, asked.tokens, view);
+        let way = core
+            .backlog
+            .request_admission(now, key, &asked.job, asked.tokens, view);
         log::info!(
             job = *asked.job,
             tokens = asked.tokens,
@@ -51,9 +55,9 @@
         way
     };
     match way {
-        Way::Share => Ok(()),
-        Way::Reserve => reserve(node, key, workspace, limit_tokens, &asked).await,
-        Way::Full => Err(full(node, key, workspace, limit_tokens, &asked).await),
+        AdmissionPath::Share => Ok(()),
+        AdmissionPath::Reserve => reserve(node, key, workspace, limit_tokens, &asked).await,
+        AdmissionPath::Full => Err(full(node, key, workspace, limit_tokens, &asked).await),
     }
 }
 
@@ -62,9 +66,9 @@
     let now = clock::now();
     let mut core = node.core.borrow_mut();
     match settled {
-        Settled::Won(_) => core.backlog.stands(now, job),
+        Settled::Won(_) => core.backlog.job_written(now, job),
         // It was accepted before, by another VM, or nothing was written.
-        Settled::Lost(_) | Settled::Away(_) => core.backlog.dropped(job),
+        Settled::Lost(_) | Settled::Away(_) => core.backlog.job_abandoned(job),
         // It may still take effect, so it counts on for a while.
         Settled::Unknown(_) => {}
     }
@@ -87,11 +91,11 @@
     }
 }
 
-fn view(node: &Node, now: Duration, route: RouteKey, limit_tokens: u64) -> View {
+fn view(node: &Node, now: Duration, route: RouteKey, limit_tokens: u64) -> BacklogView {
     let core = node.core.borrow();
     let by_records = core.jobs.open_tokens(route);
     let by_word = core.jobs.open_tokens_of(route, |owner| {
-        owner == node.owner || !core.peers.tells(now, owner)
+        owner == node.owner || !core.peers.reports_waiting(now, owner)
     });
     let told = by_word + core.peers.backlog(now, route, node.domain, node.vm);
     let writing = core
@@ -103,10 +107,10 @@
     } else {
         by_records.max(told)
     };
-    View {
+    BacklogView {
         limit_tokens: with_overage(limit_tokens, node.settings.waiting_overage),
         waiting_tokens: known + writing,
-        vms: core.peers.able() + 1,
+        vms: core.peers.admitting_vms() + 1,
     }
 }
 
@@ -185,7 +189,7 @@
 }
 
 fn away() -> Reply {
-    replies::refusal(Kind::PlatformAway, true, Some(RETURN_MIN))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(RETURN_MIN))
 }
 
 /// The answer to a job that has no room. One that was accepted before, and comes again because its
@@ -216,5 +220,5 @@
         after_ms = after.as_millis() as u64;
         "job refused: too much waits"
     );
-    replies::refusal(Kind::TooMuchWaiting, true, Some(after))
+    replies::refusal(RefusalKind::TooMuchWaiting, true, Some(after))
 }
--- a/src/serve/callers.rs
+++ b/src/serve/callers.rs
@@ -26,8 +26,8 @@
 use super::results;
 use crate::clock;
 use crate::decide::access;
-use crate::decide::proofs::Subject;
-use crate::decide::refusal::Kind;
+use crate::decide::freshness::StoreSubject;
+use crate::decide::refusal::RefusalKind;
 use crate::decide::routes::{RouteKind, RouteTable, Rules};
 use crate::pages;
 use crate::util;
@@ -112,7 +112,7 @@
     let (head, body) = request.into_parts();
     let Some(routes) = node.routes() else {
         log::info!(path = head.uri.path(); "refused: no rules are known yet");
-        return replies::refusal(Kind::NotReady, true, Some(STARTING_RETRY));
+        return replies::refusal(RefusalKind::NotReady, true, Some(STARTING_RETRY));
     };
     let call = (node.dialect.call)(&head);
     if call == Call::Routed {
@@ -146,18 +146,18 @@
     routes: &'a RouteTable,
     public: bool,
     head: &hyper::http::request::Parts,
-) -> Result<access::Caller<'a>, Kind> {
+) -> Result<access::CallerIdentity<'a>, RefusalKind> {
     let now = clock::now();
     let shown = (node.dialect.credential)(&head.headers);
     let workspaces = routes.workspaces.as_ref();
     let caller = {
         let core = node.core.borrow();
-        access::caller(now, workspaces, public, shown, &core.proofs)
+        access::identify_caller(now, workspaces, public, shown, &core.proofs)
     };
     caller.inspect_err(|kind| {
         let reason: &'static str = kind.into();
         let version = routes.rules.version;
-        let proof_age_ms = node.proof_age_ms(Subject::Rules);
+        let proof_age_ms = node.proof_age_ms(StoreSubject::Rules);
         let path = head.uri.path();
         node.counters.refused.with_label_values(&[reason]).inc();
         log::info!(path, reason, version, proof_age_ms; "refused: no workspace is known by this key");
@@ -165,8 +165,8 @@
 }
 
 /// The answer to a caller whose workspace is not known.
-fn unidentified(kind: Kind) -> Reply {
-    let retry = (kind == Kind::NotReady).then_some(UNSURE_RETRY);
+fn unidentified(kind: RefusalKind) -> Reply {
+    let retry = (kind == RefusalKind::NotReady).then_some(UNSURE_RETRY);
     replies::refusal(kind, true, retry)
 }
 
@@ -179,13 +179,13 @@
     let ask = (node.dialect.ask)(&head);
     let Some(route) = routes.find(&ask.host, head.uri.path()) else {
         let version = routes.rules.version;
-        let proof_age_ms = node.proof_age_ms(Subject::Rules);
+        let proof_age_ms = node.proof_age_ms(StoreSubject::Rules);
         let (host, path) = (ask.host, head.uri.path());
-        let sure = node.core.borrow().proofs.rules_are_sure(clock::now());
+        let sure = node.core.borrow().proofs.are_rules_fresh(clock::now());
         log::info!(host, path, version, proof_age_ms, sure; "refused: no such route");
         return match sure {
-            true => replies::refusal(Kind::NotFound, true, None),
-            false => replies::refusal(Kind::NotReady, true, Some(UNSURE_RETRY)),
+            true => replies::refusal(RefusalKind::NotFound, true, None),
+            false => replies::refusal(RefusalKind::NotReady, true, Some(UNSURE_RETRY)),
         };
     };
     let caller = match identify(&node, &routes, route.public, &head) {
@@ -226,12 +226,14 @@
 }
 
 /// Reads a body whole.
-async fn read(body: Incoming, bytes_max: usize) -> Result<Bytes, Kind> {
+async fn read(body: Incoming, bytes_max: usize) -> Result<Bytes, RefusalKind> {
     let read = Limited::new(body, bytes_max).collect();
     match timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
-        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => Err(Kind::TooLarge),
-        Ok(Err(_)) => Err(Kind::BadRequest),
-        Err(_) => Err(Kind::SlowRequest),
+        Ok(Err(error)) if error.is::<http_body_util::LengthLimitError>() => {
+            Err(RefusalKind::TooLarge)
+        }
+        Ok(Err(_)) => Err(RefusalKind::BadRequest),
+        Err(_) => Err(RefusalKind::SlowRequest),
     }
 }
--- a/src/serve/delegate.rs
+++ b/src/serve/delegate.rs
@@ -11,8 +11,8 @@
 use super::peers::{heartbeat, seal, word, Datagram, COUNTS_ALL};
 use super::quotas;
 use crate::clock;
-use crate::decide::peers::{Round, Summary, Versions, ROUND};
-use crate::decide::quota::Source as CountSource;
+use crate::decide::peers::{KnownVersions, Summary, SummaryRound, SUMMARY_INTERVAL};
+use crate::decide::quota::CountSource;
 use crate::id::VmId;
 
 /// Time between two words to VMs whose items are to make way. Without them a burst of online requests stands
@@ -29,25 +29,30 @@
         let left = round_due.saturating_sub(clock::now());
         let pressed = timeout(left, node.tell_pressed.notified()).await.is_ok();
         if !node.core.borrow().peers.is_delegate(node.vm) {
-            sleep(ROUND).await;
+            sleep(SUMMARY_INTERVAL).await;
             continue;
         }
         sequence += 1;
         let all_counts = clock::now() >= counts_due;
         let round = round(&node, sequence, all_counts);
         if pressed && clock::now() < round_due {
-            tell_members(&node, &socket, &round, |vm| round.presses(vm));
+            tell_members(&node, &socket, &round, |vm| round.has_excess_items(vm));
             continue;
         }
-        round_due = clock::now() + ROUND;
+        round_due = clock::now() + SUMMARY_INTERVAL;
         rounds += 1;
-        if all_counts && node.core.borrow().peers.is_far_round(rounds) {
+        if all_counts && node.core.borrow().peers.is_remote_round(rounds) {
             counts_due = clock::now() + COUNTS_ALL;
         }
-        if node.core.borrow().peers.is_near_round(rounds, node.domain) {
+        if node
+            .core
+            .borrow()
+            .peers
+            .is_domain_round(rounds, node.domain)
+        {
             tell_members(&node, &socket, &round, |_| true);
         }
-        if node.core.borrow().peers.is_far_round(rounds) || is_crowded(&node) {
+        if node.core.borrow().peers.is_remote_round(rounds) || is_crowded(&node) {
             tell_delegates(&node, &socket, &round);
         }
     }
@@ -58,30 +63,37 @@
 fn is_crowded(node: &Node) -> bool {
     let now = clock::now();
     let core = node.core.borrow();
-    let meshed = core.peers.is_meshed(node.domain);
+    let meshed = core.peers.is_domain_meshed(node.domain);
     let mut rows = core.online.endpoints.rows.iter();
-    meshed && rows.any(|row| row.crowded(now))
+    meshed && rows.any(|row| row.may_queue(now))
 }
 
-fn round(node: &Node, sequence: u64, all_counts: bool) -> Round {
+fn round(node: &Node, sequence: u64, all_counts: bool) -> SummaryRound {
     let now = clock::now();
     let own = heartbeat(node, sequence);
     let core = node.core.borrow();
     let address = node.settings.peer_address;
     let endpoints = &core.online.endpoints;
-    let mut counts = core.quotas.of_domain(now, &core.peers.owners(node.domain));
+    let mut counts = core
+        .quotas
+        .domain_counts(now, &core.peers.domain_owners(node.domain));
     if !all_counts {
         counts
             .rows
             .retain(|row| quotas::is_pressed(&core, now, row));
     }
     core.peers
-        .round(now, &own, address, &core.usage, counts, endpoints)
+        .summary_round(now, &own, address, &core.usage, counts, endpoints)
 }
 
 /// Tells the VMs of the failure domain that fit.
-fn tell_members(node: &Node, socket: &UdpSocket, round: &Round, fits: impl Fn(VmId) -> bool) {
-    let members = node.core.borrow().peers.members(node.domain);
+fn tell_members(
+    node: &Node,
+    socket: &UdpSocket,
+    round: &SummaryRound,
+    fits: impl Fn(VmId) -> bool,
+) {
+    let members = node.core.borrow().peers.domain_peers(node.domain);
     for (vm, to) in members.into_iter().filter(|(vm, _)| fits(*vm)) {
         for summary in round.for_member(vm) {
             if let Some(sealed) = seal(node, &Datagram::Summary(summary)) {
@@ -93,8 +105,8 @@
 }
 
 /// Tells the delegates of the other failure domains.
-fn tell_delegates(node: &Node, socket: &UdpSocket, round: &Round) {
-    let targets = node.core.borrow().peers.far_delegates();
+fn tell_delegates(node: &Node, socket: &UdpSocket, round: &SummaryRound) {
+    let targets = node.core.borrow().peers.remote_delegate_addresses();
     for summary in round.for_delegates() {
         let Some(sealed) = seal(node, &Datagram::Summary(summary)) else {
             continue;
@@ -108,7 +120,7 @@
 
 /// Passes a summary of another failure domain on as it came.
 fn pass_on(node: &Node, socket: &UdpSocket, sealed: &[u8]) {
-    let members = node.core.borrow().peers.members(node.domain);
+    let members = node.core.borrow().peers.domain_peers(node.domain);
     for (_, to) in members {
         // A datagram that can't be sent is a datagram lost: the next summary says it again.
         let _ = socket.try_send_to(sealed, to);
@@ -123,16 +135,16 @@
     let now = clock::now();
     let mut guard = node.core.borrow_mut();
     let core = &mut *guard;
-    if !core.peers.domains.take(now, &summary) {
+    if !core.peers.domains.apply_summary(now, &summary) {
         return;
     }
-    let theirs = Versions {
+    let theirs = KnownVersions {
         rules: summary.rules,
         endpoints: summary.endpoints,
     };
     core.take_proofs(now, summary.proofs, theirs);
     let near = summary.domain == node.domain;
-    if near && core.peers.hears_home(node.vm, node.domain) {
+    if near && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
         // It has heard the VMs themselves.
         return;
     }
@@ -141,17 +153,17 @@
         // Towards the own failure domain this VM itself is left out.
         let vms = summary.vms - u32::from(near);
         let told = word(vms, false, &summary.counts);
-        core.quotas.told(now, source, told);
+        core.quotas.apply_report(now, source, told);
     }
-    let passes_on = !near && core.peers.passes_on(node.vm, &summary);
+    let passes_on = !near && core.peers.forwards_summary(node.vm, &summary);
     let part = (summary.part, summary.parts);
     let touched = core
         .usage
-        .told_part(now, summary.domain, part, summary.rows);
+        .apply_group_part(now, summary.domain, part, summary.rows);
     let mut yields = false;
     if near && summary.part == 0 {
         yields = !summary.keeps.is_empty();
-        core.usage.keep(now, summary.keeps);
+        core.usage.set_item_allowance(now, summary.keeps);
     }
     let endpoints = &mut core.online.endpoints;
     yields |= core
--- a/src/serve/exchange.rs
+++ b/src/serve/exchange.rs
@@ -12,8 +12,8 @@
 use super::dialect::{AnswerHead, Attempt};
 use super::node::Node;
 use super::pool::{self, Connection};
-use crate::decide::quarantine::{Asked, Fingerprint};
-use crate::decide::retry::Reach;
+use crate::decide::quarantine::{Fingerprint, RequestIdentity};
+use crate::decide::retry::AttemptStage;
 use crate::id::{EndpointId, Name};
 
 /// Headers that concern one connection only, and those that the client library writes itself.
@@ -50,7 +50,7 @@
 impl Outgoing {
     /// What counts as the same request when it comes again.
     pub fn fingerprint(&self) -> Fingerprint {
-        Fingerprint::of(&Asked {
+        Fingerprint::of(&RequestIdentity {
             caller: self.workspace.as_deref().unwrap_or_default().as_bytes(),
             method: self.method.as_str(),
             host: self.header(header::HOST),
@@ -91,7 +91,7 @@
 /// A try that brought no answer to pass on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Failure {
-    pub reach: Reach,
+    pub reach: AttemptStage,
     /// The endpoint is at fault.
     pub blame: bool,
     /// The connection broke while the request was under way.
@@ -103,7 +103,7 @@
 
 impl Failure {
     /// A failure that is the endpoint's fault.
-    pub fn blamed(reach: Reach, detail: impl Into<String>) -> Failure {
+    pub fn blamed(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
             reach,
             blame: true,
@@ -114,7 +114,7 @@
     }
 
     /// The connection broke while the request was under way.
-    pub fn lost(reach: Reach, detail: impl Into<String>) -> Failure {
+    pub fn lost(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
             lost: true,
             ..Failure::blamed(reach, detail)
@@ -122,7 +122,7 @@
     }
 
     /// A failure that is nobody's fault.
-    pub fn unblamed(reach: Reach, detail: impl Into<String>) -> Failure {
+    pub fn unblamed(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
             blame: false,
             ..Failure::blamed(reach, detail)
@@ -201,12 +201,12 @@
 fn failed(error: pool::Error) -> Failure {
     let detail = error.to_string();
     match error {
-        pool::Error::NotSent { .. } => Failure::blamed(Reach::NotSent, detail),
+        pool::Error::NotSent { .. } => Failure::blamed(AttemptStage::NotSent, detail),
         pool::Error::TurnedAway { .. } => Failure {
             ended: true,
-            ..Failure::blamed(Reach::NotSent, detail)
+            ..Failure::blamed(AttemptStage::NotSent, detail)
         },
-        pool::Error::NoAnswer { .. } => Failure::lost(Reach::MaybeSent, detail),
+        pool::Error::NoAnswer { .. } => Failure::lost(AttemptStage::MaybeSent, detail),
     }
 }
 
@@ -217,7 +217,7 @@
     left: Option<Duration>,
     last_event: Option<u64>,
 ) -> Result<Request<Full<Bytes>>, Failure> {
-    let unsendable = |detail: String| Failure::unblamed(Reach::NotSent, detail);
+    let unsendable = |detail: String| Failure::unblamed(AttemptStage::NotSent, detail);
     let uri: Uri = out
         .target
         .parse()
@@ -245,11 +245,11 @@
     match &said.attempt {
         Some(echoed) if echoed != id => {
             let detail = format!("the answer is to {echoed}");
-            return Err(Failure::blamed(Reach::MaybeSent, detail));
+            return Err(Failure::blamed(AttemptStage::MaybeSent, detail));
         }
         None if !fresh => {
             return Err(Failure::blamed(
-                Reach::MaybeSent,
+                AttemptStage::MaybeSent,
                 "the answer names no request",
             ));
         }
@@ -258,7 +258,7 @@
     if said.not_run {
         return Err(Failure {
             blame: said.elsewhere,
-            ..Failure::blamed(Reach::Refused, "refused")
+            ..Failure::blamed(AttemptStage::Refused, "refused")
         });
     }
     Ok(())
--- a/src/serve/inside.rs
+++ b/src/serve/inside.rs
@@ -30,11 +30,11 @@
 use super::why;
 use crate::clock;
 use crate::decide::endpoints::Endpoint;
-use crate::decide::idle::Reason;
-use crate::decide::online::Waiting;
-use crate::decide::proofs::Subject;
-use crate::decide::quarantine::Listed;
-use crate::decide::quota::Use;
+use crate::decide::freshness::StoreSubject;
+use crate::decide::idle::IdleReason;
+use crate::decide::online::ServiceQueue;
+use crate::decide::quarantine::QuarantineListing;
+use crate::decide::quota::QuotaUse;
 
 /// What the process knows and does, for operators.
 #[derive(Serialize)]
@@ -51,20 +51,20 @@
     requests: usize,
     items: usize,
     items_running: usize,
-    waiting: Vec<Waiting>,
+    waiting: Vec<ServiceQueue>,
     endpoints: Vec<EndpointRow>,
     jobs: Vec<JobRow>,
     /// Requests that endpoints ended under.
-    quarantine: Vec<Listed>,
+    quarantine: Vec<QuarantineListing>,
     /// Workspaces with a quota and requests here of late.
-    quotas: Vec<Use>,
+    quotas: Vec<QuotaUse>,
     store_answers: bool,
 }
 
 /// How old the store's youngest word on a subject is.
 #[derive(Serialize)]
 struct ProofRow {
-    subject: Subject,
+    subject: StoreSubject,
     age_ms: Option<u64>,
 }
 
@@ -170,7 +170,7 @@
 /// Brings the counters of idle slots up to what the deciding part has added up.
 fn count_idle(node: &Node) {
     let core = node.core.borrow();
-    for reason in Reason::iter() {
+    for reason in IdleReason::iter() {
         let name: &'static str = reason.into();
         let counter = node.counters.idle_slots.with_label_values(&[name]);
         let lost_ms = core.items.idle.lost(reason).as_millis() as u64;
@@ -181,7 +181,7 @@
 fn tell_ages(node: &Node) {
     let now = clock::now();
     let core = node.core.borrow();
-    for subject in Subject::iter() {
+    for subject in StoreSubject::iter() {
         let name: &'static str = subject.into();
         let age = core.proofs.age(now, subject);
         let gauge = node.counters.proof_age.with_label_values(&[name]);
@@ -226,15 +226,15 @@
             .age(now, subject)
             .map(|age| age.as_millis() as u64),
     };
-    let proofs = Subject::iter().map(proof).collect();
+    let proofs = StoreSubject::iter().map(proof).collect();
     let dump = Dump {
         vm: node.settings.name.to_string(),
         stage: core.stage.into(),
-        ready: core.routes.is_some() && core.discovery.known(),
+        ready: core.routes.is_some() && core.discovery.is_loaded(),
         rules: core.routes.as_ref().map(|table| table.rules.version),
         proofs,
         endpoints_revision: core.discovery.revision,
-        living_vms: core.peers.living(now),
+        living_vms: core.peers.living_vms(now),
         delegate: core.peers.is_delegate(node.vm),
         requests: node.busy.get(),
         items,
--- a/src/serve/jobs.rs
+++ b/src/serve/jobs.rs
@@ -16,7 +16,7 @@
 use super::replies::{self, Reply};
 use super::runs;
 use crate::clock;
-use crate::decide::refusal::Kind;
+use crate::decide::refusal::RefusalKind;
 use crate::decide::routes::Route;
 use crate::decide::small_jobs::{self, body_key, record_key, Item, Record};
 use crate::id::{JobId, Name, Revision};
@@ -49,7 +49,7 @@
     body: Bytes,
 ) -> Reply {
     let Some(id) = ask.id else {
-        return replies::refusal(Kind::BadRequest, true, None);
+        return replies::refusal(RefusalKind::BadRequest, true, None);
     };
     let id: JobId = id.into();
     let standing = node.core.borrow().jobs.standing(&id);
@@ -60,23 +60,23 @@
         Ok(items) => items,
         Err(error) => {
             log::info!(job = *id, error; "job can't be read");
-            return replies::refusal(Kind::BadRequest, true, None);
+            return replies::refusal(RefusalKind::BadRequest, true, None);
         }
     };
     if let Some(item) = small_jobs::named_twice(&items) {
         log::info!(job = *id, item = **item; "job refused: an item is named twice");
-        return replies::refusal(Kind::BadRequest, true, None);
+        return replies::refusal(RefusalKind::BadRequest, true, None);
     }
     let parts = match small_jobs::body_parts(&items) {
         Some(parts) if items.len() <= small_jobs::ITEMS_MAX && !items.is_empty() => parts,
-        _ => return replies::refusal(Kind::TooLarge, true, None),
+        _ => return replies::refusal(RefusalKind::TooLarge, true, None),
     };
     let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &parts);
     record.workspace = caller;
     // A task of its own: a caller that leaves must not keep the write from being settled.
     let accepted = accept(node.clone(), route.clone(), record, parts);
     let settled = tokio::task::spawn_local(accepted).await;
-    settled.unwrap_or_else(|_| replies::refusal(Kind::PlatformAway, false, None))
+    settled.unwrap_or_else(|_| replies::refusal(RefusalKind::PlatformAway, false, None))
 }
 
 fn new_record(
@@ -144,11 +144,11 @@
         },
         Settled::Away(detail) => {
             log::warn!(job = *id, took_ms, detail; "job refused: the store is away");
-            replies::refusal(Kind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+            replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
         }
         Settled::Unknown(detail) => {
             log::warn!(job = *id, took_ms, detail; "job in doubt: the store's answer was lost");
-            replies::refusal(Kind::PlatformAway, false, None)
+            replies::refusal(RefusalKind::PlatformAway, false, None)
         }
     }
 }
@@ -159,7 +159,7 @@
     log::info!(job = *standing.id, same_workspace = same; "job had been accepted before");
     match same {
         true => replies::empty(202),
-        false => replies::refusal(Kind::Conflict, true, None),
+        false => replies::refusal(RefusalKind::Conflict, true, None),
     }
 }
 
@@ -195,7 +195,7 @@
     }
     let asked_by = caller.as_deref().unwrap_or_default();
     log::info!(job = **job, asked_by; "refused: the job is another workspace's");
-    Err(replies::refusal(Kind::NotFound, true, None))
+    Err(replies::refusal(RefusalKind::NotFound, true, None))
 }
 
 /// The job's record from the store, else what to answer instead: 404 only on the store's word.
@@ -203,7 +203,7 @@
     let key = record_key(job);
     let item = match node.store.get(&key).await {
         Ok(Some(item)) => item,
-        Ok(None) => return Err(replies::refusal(Kind::NotFound, true, None)),
+        Ok(None) => return Err(replies::refusal(RefusalKind::NotFound, true, None)),
         Err(error) => return Err(away(job, &error.to_string())),
     };
     let Some(record) = decode(&key, &item.value) else {
@@ -215,12 +215,12 @@
     let standing = core.jobs.standing(job);
     standing
         .map(|(record, _)| record)
-        .ok_or_else(|| replies::refusal(Kind::NotFound, true, None))
+        .ok_or_else(|| replies::refusal(RefusalKind::NotFound, true, None))
 }
 
 fn away(job: &str, detail: &str) -> Reply {
     log::warn!(job, error = detail; "job can't be read: the store is away");
-    replies::refusal(Kind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
 }
 
 /// Answers with the body of an item.
@@ -232,7 +232,7 @@
     let index = record.items.iter().position(|known| *known == item);
     let place = index.and_then(|index| record.body_place(index as u32));
     let Some((part, place)) = place.filter(|_| !record.cancelled) else {
-        return replies::refusal(Kind::NotFound, true, None);
+        return replies::refusal(RefusalKind::NotFound, true, None);
     };
     let read = parts::read::<Vec<Item>>(&node, body_key(&job, part), record.owner).await;
     let body = match &read {
@@ -246,7 +246,7 @@
     };
     match body {
         Some(Ok(body)) => replies::bytes(body.into()),
-        _ => replies::refusal(Kind::PlatformAway, true, Some(STORE_AWAY_RETRY)),
+        _ => replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY)),
     }
 }
 
@@ -274,7 +274,7 @@
             Settled::Away(detail) | Settled::Unknown(detail) => return away(&job, &detail),
         }
     }
-    replies::refusal(Kind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
 }
 
 /// Tells the process that runs a job that the job was ended here.
--- a/src/serve/live_watch.rs
+++ b/src/serve/live_watch.rs
@@ -22,8 +22,8 @@
 use super::replies::{self, Reply};
 use super::watch::{self, follow, Followed, News, Told};
 use crate::clock;
+use crate::decide::freshness::StoreSubject;
 use crate::decide::peers::VmRecord;
-use crate::decide::proofs::Subject;
 use crate::decide::small_jobs::{record_key, RECORDS};
 use crate::id::Revision;
 use crate::store::{Change, Error, Item};
@@ -54,7 +54,7 @@
 
 /// All that is followed here.
 const FOLLOWED: Followed = Followed {
-    subject: Subject::Live,
+    subject: StoreSubject::Live,
     prefix: "small/live/",
 };
 /// Prefix of the VMs' registrations.
@@ -127,7 +127,7 @@
         let now = clock::now();
         let (told, watched) = {
             let core = node.core.borrow();
-            (core.peers.newest_job(now), core.jobs.watched)
+            (core.peers.newest_job_revision(now), core.jobs.watched)
         };
         // A VM that asks another one is as late as that one, which looks after itself.
         if told <= watched || source(&node).is_some() {
@@ -150,7 +150,7 @@
     let now = clock::now();
     let own = node.own();
     let core = node.core.borrow();
-    let watcher = core.peers.watcher(now, own)?;
+    let watcher = core.peers.watching_vm(now, own)?;
     let distrusted = core.live.distrusted;
     let trusted = distrusted.is_none_or(|(vm, until)| vm != watcher || now >= until);
     trusted.then_some(watcher)
@@ -169,7 +169,8 @@
             if let Some(age_ms) = told.proof_age_ms {
                 let age = Duration::from_millis(age_ms);
                 let mut core = node.core.borrow_mut();
-                core.proofs.told_at(Subject::Live, clock::now(), age);
+                core.proofs
+                    .confirm_by_peer_at(StoreSubject::Live, clock::now(), age);
             }
             Ok(Some(Told {
                 news: News::PassedOn(told.changes),
@@ -219,7 +220,7 @@
 fn is_behind(core: &Core) -> bool {
     let now = clock::now();
     let failed_for = core.discovery.store_failed_for(now);
-    core.proofs.live_is_behind(now, failed_for)
+    core.proofs.is_live_stale(now, failed_for)
 }
 
 fn changes_after(node: &Node, after: Revision) -> Changes {
@@ -247,7 +248,7 @@
         key: key.clone(),
         revision: *revision,
     });
-    let age = core.proofs.age(clock::now(), Subject::Live);
+    let age = core.proofs.age(clock::now(), StoreSubject::Live);
     Changes {
         // What was deleted and written again must not be gone in the end.
         changes: deleted.chain(jobs).chain(vms).collect(),
@@ -277,7 +278,8 @@
         }
     }
     let vms: Vec<VmRecord> = core.live.vms.values().map(|(vm, _)| vm.clone()).collect();
-    core.peers.registered(now, (node.vm, node.owner), &vms);
+    core.peers
+        .apply_registrations(now, (node.vm, node.owner), &vms);
     core.jobs.watched = core.jobs.watched.max(revision);
     core.jobs.changed.notify_waiters();
     drop(guard);
--- a/src/serve/node.rs
+++ b/src/serve/node.rs
@@ -23,12 +23,12 @@
 use crate::decide::access::Workspace;
 use crate::decide::backlog::Backlog;
 use crate::decide::discovery::{Discovery, CUT_OFF_AFTER};
+use crate::decide::freshness::{ConfirmationAges, Freshness, StoreSubject, VersionsMatch};
 use crate::decide::items::Items;
-use crate::decide::online::{Action, Event, Online, Service, SHARE_DEFAULT};
-use crate::decide::peers::{Own, Peers, Versions};
-use crate::decide::proofs::{Knows, ProofAges, Proofs, Subject};
+use crate::decide::online::{Action, Event, Online, ServiceConfig, SHARE_DEFAULT};
+use crate::decide::peers::{KnownVersions, LocalVm, Peers};
 use crate::decide::quarantine::Quarantine;
-use crate::decide::quota::{self, Measure, Quotas};
+use crate::decide::quota::{self, QuotaMeasure, Quotas};
 use crate::decide::routes::{RouteKind, RouteTable, Rules};
 use crate::decide::small_jobs::Record;
 use crate::decide::usage::Usage;
@@ -71,7 +71,7 @@
     pub live: Live,
     pub peers: Peers,
     /// How old the store's word is on all that is followed there.
-    pub proofs: Proofs,
+    pub proofs: Freshness,
     /// Requests that end their endpoints.
     pub quarantine: Quarantine,
     /// Requests of workspaces against their quotas.
@@ -88,21 +88,21 @@
     }
 
     /// What is known of what other VMs fetch from each other.
-    pub fn versions(&self) -> Versions {
-        Versions {
+    pub fn versions(&self) -> KnownVersions {
+        KnownVersions {
             rules: self.rules_version(),
             endpoints: self.discovery.revision,
         }
     }
 
     /// Takes what another VM tells of the store's word to it; `theirs` is what that VM knows.
-    pub fn take_proofs(&mut self, now: Duration, ages: ProofAges, theirs: Versions) {
+    pub fn take_proofs(&mut self, now: Duration, ages: ConfirmationAges, theirs: KnownVersions) {
         let own = self.versions();
-        let knows = Knows {
+        let knows = VersionsMatch {
             rules: own.rules >= theirs.rules,
             endpoints: own.endpoints >= theirs.endpoints,
         };
-        self.proofs.told(now, ages, knows);
+        self.proofs.confirm_by_peer(now, ages, knows);
     }
 
     /// Takes a job's record, and notes what became known as finished with it.
@@ -178,7 +178,7 @@
             jobs: Jobs::default(),
             live: Live::default(),
             peers: Peers::new(settings.mesh_max),
-            proofs: Proofs::default(),
+            proofs: Freshness::default(),
             quarantine: Quarantine::default(),
             quotas: Quotas::new(measure(&settings), clock::now()),
             stage: Stage::Serving,
@@ -243,7 +243,7 @@
             return core.discovery.store_answered(now);
         }
         let since = if call.waited { now } else { call.sent_at };
-        let others_served = core.peers.served_for(now, CUT_OFF_AFTER);
+        let others_served = core.peers.is_store_serving_for(now, CUT_OFF_AFTER);
         core.discovery.store_failed(now, since, others_served);
         drop(core);
         if !call.writes {
@@ -252,12 +252,12 @@
     }
 
     /// The store has answered a call on a subject that was sent at this time.
-    pub fn proved(&self, subject: Subject, sent_at: Duration) {
-        self.core.borrow_mut().proofs.proved(subject, sent_at);
+    pub fn proved(&self, subject: StoreSubject, sent_at: Duration) {
+        self.core.borrow_mut().proofs.confirm(subject, sent_at);
     }
 
     /// Age of the youngest proof of a subject in milliseconds, for the log; -1 where there was none yet.
-    pub fn proof_age_ms(&self, subject: Subject) -> i64 {
+    pub fn proof_age_ms(&self, subject: StoreSubject) -> i64 {
         let age = self.core.borrow().proofs.age(clock::now(), subject);
         age.map_or(-1, |age| age.as_millis() as i64)
     }
@@ -265,7 +265,7 @@
     /// Whether callers can be served: it knows rules and endpoints, and does not drain.
     pub fn ready(&self) -> bool {
         let core = self.core.borrow();
-        core.stage == Stage::Serving && core.routes.is_some() && core.discovery.known()
+        core.stage == Stage::Serving && core.routes.is_some() && core.discovery.is_loaded()
     }
 
     /// Whether the process was told to stop.
@@ -274,9 +274,9 @@
     }
 
     /// This VM, among those that may watch and speak for others.
-    pub fn own(&self) -> Own {
+    pub fn own(&self) -> LocalVm {
         let draining = self.is_draining();
-        Own {
+        LocalVm {
             vm: self.vm,
             domain: self.domain,
             core_share: self.settings.core_share,
@@ -292,7 +292,7 @@
 
     /// Takes rules unless they are older than those in force: a process never goes back.
     pub fn take_rules(&self, rules: Rules, from: &str) {
-        let proof_age_ms = self.proof_age_ms(Subject::Rules);
+        let proof_age_ms = self.proof_age_ms(StoreSubject::Rules);
         let mut core = self.core.borrow_mut();
         let known = core.routes.as_ref().map(|table| table.rules.version);
         if known.is_some_and(|known| rules.version <= known) {
@@ -311,10 +311,10 @@
     /// only the end may be kept.
     fn tell_endpoint_news(&self, from: &str) {
         let now = clock::now();
-        let proof_age_ms = self.proof_age_ms(Subject::Endpoints);
+        let proof_age_ms = self.proof_age_ms(StoreSubject::Endpoints);
         let mut core = self.core.borrow_mut();
-        let news = core.discovery.take_news();
-        let kept = core.discovery.kept() as f64;
+        let news = core.discovery.take_transitions();
+        let kept = core.discovery.kept_count() as f64;
         self.counters.endpoints_kept.set(kept);
         let failed_ms = core.discovery.store_failed_for(now);
         let failed_ms = failed_ms.map_or(-1, |age| age.as_millis() as i64);
@@ -363,7 +363,7 @@
         let endpoints = &mut core.online.endpoints;
         let stayed = endpoints.rows.iter().filter(|row| row.leaving.is_none());
         let mut gone: Vec<EndpointId> = stayed.map(|row| row.id).collect();
-        endpoints.declare(declared.into_iter().map(|(id, declared, _)| (id, declared)));
+        endpoints.configure(declared.into_iter().map(|(id, declared, _)| (id, declared)));
         gone.retain(|id| endpoints.get(*id).is_none());
         for id in draining {
             if let Some(row) = endpoints.get_mut(id) {
@@ -406,13 +406,16 @@
     pub fn heard(&self, endpoint: EndpointId) {
         let mut core = self.core.borrow_mut();
         if let Some(row) = core.online.endpoints.get_mut(endpoint) {
-            row.heard_at = clock::now();
+            row.last_received_at = clock::now();
         }
     }
 
     /// Something of a request's answer came.
     pub fn heard_answer(&self, request: RequestId) {
-        self.core.borrow_mut().online.heard(clock::now(), request);
+        self.core
+            .borrow_mut()
+            .online
+            .note_response(clock::now(), request);
     }
 
     /// Where an endpoint is; `None` when it is gone by now.
@@ -436,13 +439,15 @@
         if core.peers.tick(now, own) {
             // What others have would be counted twice for a while: as they say it and as it is summed up.
             core.usage = Usage::default();
-            core.quotas.forget_told();
+            core.quotas.forget_reports();
         }
         let store = self.store_answers.get();
         let large = core.peers.is_large();
-        let vms = core.peers.expected(now) + 1;
-        core.quotas.tick(now, quota::View { store, large, vms });
-        core.online.endpoints.late_news = !core.peers.hears_home(self.vm, self.domain);
+        let vms = core.peers.expected_vms(now) + 1;
+        core.quotas
+            .tick(now, quota::FleetView { store, large, vms });
+        core.online.endpoints.counts_lag =
+            !core.peers.receives_domain_heartbeats(self.vm, self.domain);
         let changed = core.discovery.tick(now);
         note_uses(core);
         let mut out = Vec::new();
@@ -482,7 +487,7 @@
             return;
         };
         row.batch = batch_here + elsewhere.batch;
-        if !row.crowded(now) {
+        if !row.may_queue(now) {
             return;
         }
         if batch_here > 0 {
@@ -501,8 +506,8 @@
 }
 
 /// How the settings say that quotas are measured.
-fn measure(settings: &settings::Serve) -> Measure {
-    Measure {
+fn measure(settings: &settings::Serve) -> QuotaMeasure {
+    QuotaMeasure {
         window: Duration::from_secs_f64(settings.quota_window_s),
         overage: settings.quota_overage,
         slack: settings.quota_slack,
@@ -510,18 +515,20 @@
 }
 
 /// The services as admission takes them: the tightest goal of the routes that lead there.
-fn services(rules: &Rules) -> HashMap<ServiceId, Service> {
+fn services(rules: &Rules) -> HashMap<ServiceId, ServiceConfig> {
     let shares = shares(rules);
-    let mut services: HashMap<ServiceId, Service> = HashMap::new();
+    let mut services: HashMap<ServiceId, ServiceConfig> = HashMap::new();
     for route in rules.routes.iter().filter(|r| r.kind != RouteKind::Batch) {
         for share in &route.shares {
-            let service = services.entry(share.service).or_insert_with(|| Service {
-                first_token_goal: Duration::MAX,
-                queue_limit: QUEUE_LIMIT,
-                max_in_flight: IN_FLIGHT_MAX,
-                learn: false,
-                shares: shares.clone(),
-            });
+            let service = services
+                .entry(share.service)
+                .or_insert_with(|| ServiceConfig {
+                    first_token_goal: Duration::MAX,
+                    queue_limit: QUEUE_LIMIT,
+                    max_in_flight: IN_FLIGHT_MAX,
+                    learn: false,
+                    shares: shares.clone(),
+                });
             service.first_token_goal = service.first_token_goal.min(route.goal);
         }
     }
--- a/src/serve/online.rs
+++ b/src/serve/online.rs
@@ -23,9 +23,9 @@
 use super::replies::{self, Reply};
 use crate::clock;
 use crate::decide::access::{self, Credential};
-use crate::decide::online::{Action, Arrival, Event, Outcome};
-use crate::decide::refusal::Kind;
-use crate::decide::retry::Reach;
+use crate::decide::online::{Action, Arrival, AttemptOutcome, Event};
+use crate::decide::refusal::RefusalKind;
+use crate::decide::retry::AttemptStage;
 use crate::decide::routes::{Route, RouteKind};
 use crate::id::{self, EndpointId, RequestId, ServiceId, WorkspaceId};
 
@@ -51,7 +51,7 @@
     let now = clock::now();
     let counted = match quotas::admit(&node, &out) {
         Ok(counted) => counted,
-        Err(after) => return replies::refusal(Kind::QuotaUsed, true, Some(after)),
+        Err(after) => return replies::refusal(RefusalKind::QuotaUsed, true, Some(after)),
     };
     let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
     let (request, actions) = node.register();
@@ -96,7 +96,7 @@
         Ok(Head::Own(reply)) => reply,
         Ok(Head::Relayed(parts, whole)) => relay(parts, whole, pieces),
         // The task ended without an answer, which it never does while the caller waits.
-        Err(_) => replies::refusal(Kind::EndpointFailed, false, None),
+        Err(_) => replies::refusal(RefusalKind::EndpointFailed, false, None),
     }
 }
 
@@ -225,14 +225,16 @@
                 })) => return self.refuse(kind, not_run, retry_after).await,
                 Woken::Value(Some(Action::GiveUp { .. })) | Woken::GivenUp => {}
                 Woken::Value(None) | Woken::CallerLeft => {
-                    self.tell_ended(Outcome::Abandoned);
+                    self.tell_ended(AttemptOutcome::Abandoned);
                     self.log("caller_left", "waiting");
                     return;
                 }
                 Woken::Late => {
-                    self.tell_ended(Outcome::Abandoned);
+                    self.tell_ended(AttemptOutcome::Abandoned);
                     let not_run = self.attempts == 0;
-                    return self.refuse(Kind::DeadlinePassed, not_run, None).await;
+                    return self
+                        .refuse(RefusalKind::DeadlinePassed, not_run, None)
+                        .await;
                 }
             }
         }
@@ -241,14 +243,15 @@
     /// Makes one try; true when the request has ended.
     async fn send(&mut self, endpoint: EndpointId) -> bool {
         if let Err(kind) = self.identify_again() {
-            self.tell_ended(Outcome::Abandoned);
+            self.tell_ended(AttemptOutcome::Abandoned);
             self.refuse(kind, true, None).await;
             return true;
         }
         if let Err(back_in) = quarantine::admit(&self.node, &self.out, Trial::OneOfAll) {
-            self.tell_ended(Outcome::Abandoned);
+            self.tell_ended(AttemptOutcome::Abandoned);
             let not_run = !self.may_have_run;
-            self.refuse(Kind::Quarantined, not_run, Some(back_in)).await;
+            self.refuse(RefusalKind::Quarantined, not_run, Some(back_in))
+                .await;
             return true;
         }
         self.attempts += 1;
@@ -257,7 +260,10 @@
         self.sent_to = self.name_of(endpoint);
         let tried = match self.node.target(endpoint) {
             Some(target) => self.attempt(&target).await,
-            None => Tried::Failed(Failure::unblamed(Reach::NotSent, "the endpoint is gone")),
+            None => Tried::Failed(Failure::unblamed(
+                AttemptStage::NotSent,
+                "the endpoint is gone",
+            )),
         };
         match tried {
             Tried::Done => {
@@ -268,18 +274,18 @@
                     .inc();
                 self.node.counters.whole.observe(self.age().as_secs_f64());
                 quarantine::answered(&self.node, &self.out);
-                self.tell_ended(Outcome::Done);
+                self.tell_ended(AttemptOutcome::Done);
                 self.log("done", "answered");
                 true
             }
             Tried::CallerLeft => {
-                self.tell_ended(Outcome::Abandoned);
+                self.tell_ended(AttemptOutcome::Abandoned);
                 self.log("caller_left", "answering");
                 true
             }
             Tried::Late => {
-                self.tell_ended(Outcome::Abandoned);
-                self.refuse(Kind::DeadlinePassed, false, None).await;
+                self.tell_ended(AttemptOutcome::Abandoned);
+                self.refuse(RefusalKind::DeadlinePassed, false, None).await;
                 true
             }
             Tried::Failed(failure) => {
@@ -291,7 +297,7 @@
 
     /// Whose request it is by the rules in force now, which may be newer than when it came in and waited. A run that may
     /// have begun goes on for whom it began.
-    fn identify_again(&mut self) -> Result<(), Kind> {
+    fn identify_again(&mut self) -> Result<(), RefusalKind> {
         if self.may_have_run {
             return Ok(());
         }
@@ -301,7 +307,7 @@
         let caller = {
             let core = self.node.core.borrow();
             let workspaces = routes.workspaces.as_ref();
-            access::caller(
+            access::identify_caller(
                 clock::now(),
                 workspaces,
                 self.public,
@@ -320,7 +326,10 @@
 
     /// A try failed; the deciding part says what follows.
     async fn failed(&mut self, endpoint: EndpointId, failure: Failure) {
-        self.may_have_run |= matches!(failure.reach, Reach::MaybeSent | Reach::Answering);
+        self.may_have_run |= matches!(
+            failure.reach,
+            AttemptStage::MaybeSent | AttemptStage::Answering
+        );
         let target = self.node.target(endpoint).filter(|_| failure.lost);
         let ended = match target {
             Some(target) => self.lost(&target).await,
@@ -345,7 +354,7 @@
             "try failed"
         );
         let Failure { reach, blame, .. } = failure;
-        self.tell_ended(Outcome::Failed {
+        self.tell_ended(AttemptOutcome::Failed {
             reach,
             blame,
             ended,
@@ -374,7 +383,7 @@
             Woken::Value(Err(failure)) => return Tried::Failed(failure),
             Woken::CallerLeft => return Tried::CallerLeft,
             Woken::Late => return Tried::Late,
-            Woken::GivenUp => return Tried::Failed(silent(Reach::MaybeSent)),
+            Woken::GivenUp => return Tried::Failed(silent(AttemptStage::MaybeSent)),
         };
         node.heard_answer(self.request);
         let streams = is_events(&answer.head.headers) && answer.head.status == StatusCode::OK;
@@ -407,11 +416,14 @@
         let bytes = match self.wait(collect(body)).await {
             Woken::Value(Some(bytes)) => bytes,
             Woken::Value(None) => {
-                return Tried::Failed(Failure::lost(Reach::MaybeSent, "the answer broke off"))
+                return Tried::Failed(Failure::lost(
+                    AttemptStage::MaybeSent,
+                    "the answer broke off",
+                ))
             }
             Woken::CallerLeft => return Tried::CallerLeft,
             Woken::Late => return Tried::Late,
-            Woken::GivenUp => return Tried::Failed(silent(Reach::MaybeSent)),
+            Woken::GivenUp => return Tried::Failed(silent(AttemptStage::MaybeSent)),
         };
         self.node.heard(target.endpoint);
         if let Some(keep_alive) = exchange::keep_alive(&head) {
@@ -419,7 +431,7 @@
         }
         if head.status.is_success() && !said.signed {
             return Tried::Failed(Failure::blamed(
-                Reach::MaybeSent,
+                AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
         }
@@ -447,7 +459,7 @@
         } = answer;
         if !said.signed {
             return Tried::Failed(Failure::blamed(
-                Reach::MaybeSent,
+                AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
         }
@@ -556,15 +568,15 @@
     }
 
     /// How far a try has come that fails now.
-    fn reach(&self) -> Reach {
+    fn reach(&self) -> AttemptStage {
         match self.head {
-            Some(_) => Reach::MaybeSent,
-            None => Reach::Answering,
+            Some(_) => AttemptStage::MaybeSent,
+            None => AttemptStage::Answering,
         }
     }
 
     /// Gives the final answer, or breaks off an answer that has begun.
-    async fn refuse(&mut self, kind: Kind, not_run: bool, after: Option<Duration>) {
+    async fn refuse(&mut self, kind: RefusalKind, not_run: bool, after: Option<Duration>) {
         let name: &'static str = kind.into();
         self.log("refused", name);
         self.node.counters.refused.with_label_values(&[name]).inc();
@@ -586,7 +598,7 @@
         let _ = head.send(reply);
     }
 
-    fn tell_ended(&self, outcome: Outcome) {
+    fn tell_ended(&self, outcome: AttemptOutcome) {
         self.node.tell(Event::Ended {
             request: self.request,
             outcome,
@@ -640,7 +652,7 @@
     }
 }
 
-fn silent(reach: Reach) -> Failure {
+fn silent(reach: AttemptStage) -> Failure {
     // The silence was seen by the deciding part, which has counted it against the endpoint.
     Failure::unblamed(reach, "the endpoint went silent")
 }
--- a/src/serve/peers.rs
+++ b/src/serve/peers.rs
@@ -20,13 +20,15 @@
 use super::replies::{self, Reply};
 use crate::clock;
 use crate::decide::backlog::RouteKey;
-use crate::decide::discovery::{Known, Source};
+use crate::decide::discovery::{KnownEntry, SnapshotSource};
 use crate::decide::endpoints::Endpoint;
-use crate::decide::peers::{Ahead, Counts, Heartbeat, Row, Summary, Versions};
-use crate::decide::quarantine::Told;
-use crate::decide::quota::{Count, Source as CountSource, Word, WorkspaceKey};
+use crate::decide::peers::{
+    EndpointUseRow, Heartbeat, KnownVersions, NewerPeers, QuotaCounts, Summary,
+};
+use crate::decide::quarantine::QuarantineReport;
+use crate::decide::quota::{CountReport, CountSource, WorkspaceCount, WorkspaceKey};
 use crate::decide::routes::{Route, Rules};
-use crate::decide::usage::Use;
+use crate::decide::usage::EndpointUse;
 use crate::id::{self, EndpointId, JobId, OwnerId, Revision};
 use crate::wire::DATAGRAM_BYTES;
 
@@ -76,13 +78,13 @@
     /// What a delegate says of its failure domain.
     Summary(Summary),
     /// What a VM knows of requests that end their endpoints.
-    Quarantine(Vec<Told>),
+    Quarantine(Vec<QuarantineReport>),
 }
 
 /// All endpoints that a VM knows, for one that can't reach the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Endpoints {
-    pub entries: Vec<Known>,
+    pub entries: Vec<KnownEntry>,
     pub at: Revision,
 }
 
@@ -117,11 +119,15 @@
         }
         send_near(&node, &socket, &beat);
         if far {
-            let told = |count: &Count| all_counts || near_quota.contains(&count.workspace);
+            let told = |count: &WorkspaceCount| all_counts || near_quota.contains(&count.workspace);
             send_far(&node, &socket, without_counts(beat, told));
         }
         let _ = timeout(HEARTBEAT, node.tell_peers.notified()).await;
-        let meshed = node.core.borrow().peers.hears_home(node.vm, node.domain);
+        let meshed = node
+            .core
+            .borrow()
+            .peers
+            .receives_domain_heartbeats(node.vm, node.domain);
         let pause = match (pressed(&node), meshed) {
             (_, false) => TOLD_AGAIN_LARGE,
             (true, true) => TOLD_AGAIN,
@@ -139,18 +145,26 @@
     near.map(|row| row.workspace).collect()
 }
 
-fn without_counts(mut beat: Heartbeat, told: impl Fn(&Count) -> bool) -> Heartbeat {
+fn without_counts(mut beat: Heartbeat, told: impl Fn(&WorkspaceCount) -> bool) -> Heartbeat {
     beat.counts.rows.retain(told);
     beat
 }
 
 fn send_near(node: &Node, socket: &UdpSocket, beat: &Heartbeat) {
-    let targets = node.core.borrow().peers.targets(node.domain, true);
+    let targets = node
+        .core
+        .borrow()
+        .peers
+        .heartbeat_targets(node.domain, true);
     send_to(node, socket, beat.clone(), targets);
 }
 
 fn send_far(node: &Node, socket: &UdpSocket, beat: Heartbeat) {
-    let targets = node.core.borrow().peers.targets(node.domain, false);
+    let targets = node
+        .core
+        .borrow()
+        .peers
+        .heartbeat_targets(node.domain, false);
     send_to(node, socket, beat, targets);
 }
 
@@ -180,7 +194,7 @@
     let core = node.core.borrow();
     let rows = &core.online.endpoints.rows;
     rows.iter()
-        .any(|row| row.crowded(now) && core.usage.of(row.id).batch > 0)
+        .any(|row| row.may_queue(now) && core.usage.of(row.id).batch > 0)
 }
 
 /// What this VM says of itself.
@@ -191,9 +205,9 @@
     let placed = core.items.placed(now);
     let row = |row: &Endpoint| {
         let here = placed.get(&row.id).copied().unwrap_or_default();
-        Row {
+        EndpointUseRow {
             endpoint: row.id,
-            uses: Use {
+            uses: EndpointUse {
                 online: short(row.online_here),
                 batch: short(here.batch),
                 urgent: short(here.urgent),
@@ -211,13 +225,13 @@
         store: node.store_answers.get(),
         rules: core.rules_version(),
         endpoints: core.discovery.revision,
-        proofs: core.proofs.own_ages(now),
+        proofs: core.proofs.own_confirmation_ages(now),
         jobs: core.jobs.revision,
         waiting: core.items.waiting() as u32,
         backlog: backlog(&core, node.owner),
         peer_port: node.settings.peer_address.port(),
         rows: rows
-            .filter(|row| row.uses != Use::default())
+            .filter(|row| row.uses != EndpointUse::default())
             .take(ROWS_MAX.saturating_sub(counts.rows.len()))
             .collect(),
         counts,
@@ -280,31 +294,31 @@
     let now = clock::now();
     let mut guard = node.core.borrow_mut();
     let core = &mut *guard;
-    let is_new = !core.peers.has_heard(&beat);
+    let is_new = !core.peers.is_known_process(&beat);
     let before = core.peers.owner_of(id::of(&beat.name));
-    if !core.peers.heard(now, from, &beat) {
+    if !core.peers.apply_heartbeat(now, from, &beat) {
         return false;
     }
     if let Some(before) = before.filter(|owner| *owner != beat.owner) {
         core.quotas.replaced(before);
     }
-    let theirs = Versions {
+    let theirs = KnownVersions {
         rules: beat.rules,
         endpoints: beat.endpoints,
     };
     core.take_proofs(now, beat.proofs, theirs);
     let source = CountSource::Process(beat.owner);
     core.quotas
-        .told(now, source, word(1, beat.draining, &beat.counts));
+        .apply_report(now, source, word(1, beat.draining, &beat.counts));
     let rows = beat.rows.into_iter().map(|row| (row.endpoint, row.uses));
-    let touched = core.usage.said(now, id::of(&beat.name), rows);
+    let touched = core.usage.apply_report(now, id::of(&beat.name), rows);
     let endpoints = &mut core.online.endpoints;
     let yields = core
         .items
         .note_uses_at(now, endpoints, &core.usage, &touched);
     let crowded = |id: &EndpointId| {
         let row = endpoints.get(*id);
-        row.is_some_and(|row| row.batch > 0 && row.crowded(now))
+        row.is_some_and(|row| row.batch > 0 && row.may_queue(now))
     };
     if core.peers.is_delegate(node.vm) && touched.iter().any(crowded) {
         node.tell_pressed.notify_one();
@@ -317,8 +331,8 @@
 }
 
 /// What others tell of requests against quotas.
-pub fn word(vms: u32, leaving: bool, counts: &Counts) -> Word<'_> {
-    Word {
+pub fn word(vms: u32, leaving: bool, counts: &QuotaCounts) -> CountReport<'_> {
+    CountReport {
         vms,
         counted_for: Duration::from_millis(counts.counted_for_ms.into()),
         leaving,
@@ -363,11 +377,11 @@
     }
 }
 
-fn ahead(node: &Node, unanswered: &Unanswered) -> Ahead {
+fn ahead(node: &Node, unanswered: &Unanswered) -> NewerPeers {
     let core = node.core.borrow();
     let answers = |from| !unanswered.contains_key(&from);
     core.peers
-        .ahead(clock::now(), node.domain, core.versions(), answers)
+        .newer_peers(clock::now(), node.domain, core.versions(), answers)
 }
 
 /// Takes the rules of another VM; false when it did not answer.
@@ -393,7 +407,7 @@
         }
         log::info!(by:% = from, before, at = told.at; "endpoints told by another VM");
         core.discovery
-            .replaced(clock::now(), told.entries, told.at, Source::Peer)
+            .apply_snapshot(clock::now(), told.entries, told.at, SnapshotSource::Peer)
     };
     node.endpoints_told("peer", changed);
     true
--- a/src/serve/proving.rs
+++ b/src/serve/proving.rs
@@ -8,7 +8,7 @@
 use super::node::Node;
 use super::watch::{Followed, News, Told};
 use crate::clock;
-use crate::decide::proofs::{self, Subject};
+use crate::decide::freshness::{self, StoreSubject};
 use crate::id::Revision;
 use crate::store::{Call, Error, Reply};
 
@@ -96,7 +96,7 @@
 }
 
 /// Waits until this VM is to ask the store again while its watch waits.
-async fn proof_due(node: &Node, subject: Subject) {
+async fn proof_due(node: &Node, subject: StoreSubject) {
     loop {
         let due_in = proof_due_in(node, subject);
         if due_in.is_some_and(|left| left.is_zero()) {
@@ -108,11 +108,11 @@
 }
 
 /// How long until this VM is to ask the store again; `None` while others do.
-pub fn proof_due_in(node: &Node, subject: Subject) -> Option<Duration> {
+pub fn proof_due_in(node: &Node, subject: StoreSubject) -> Option<Duration> {
     let now = clock::now();
     let own = node.own();
     let core = node.core.borrow();
-    let place = core.peers.place_to_prove(now, own);
-    let patience = proofs::patience(subject, place, core.peers.is_large())?;
-    Some(core.proofs.due_in(now, subject, patience))
+    let place = core.peers.refresh_rank(now, own);
+    let patience = freshness::refresh_after(subject, place, core.peers.is_large())?;
+    Some(core.proofs.refresh_due_in(now, subject, patience))
 }
--- a/src/serve/quarantine.rs
+++ b/src/serve/quarantine.rs
@@ -17,7 +17,9 @@
 use super::node::{Core, Node};
 use super::pool;
 use crate::clock;
-use crate::decide::quarantine::{told, Change, Fingerprint, Listed, LostRun, HELD_FOR};
+use crate::decide::quarantine::{
+    report, Fingerprint, LostRun, QuarantineChange, QuarantineListing, HOLD_TIME,
+};
 use crate::id::EndpointId;
 use crate::util;
 
@@ -47,7 +49,7 @@
 
 /// Present time for the quarantine: what is told may be older than this process, by no more than the quarantine remembers.
 fn now() -> Duration {
-    clock::now() + HELD_FOR
+    clock::now() + HOLD_TIME
 }
 
 /// Whether a request may be sent to an endpoint now; else when its caller may come back.
@@ -56,7 +58,7 @@
         return Ok(());
     }
     let fingerprint = out.fingerprint();
-    if !node.core.borrow().quarantine.holds(fingerprint) {
+    if !node.core.borrow().quarantine.is_held(fingerprint) {
         return Ok(());
     }
     let admitted = {
@@ -81,8 +83,9 @@
     let fingerprint = out.fingerprint();
     {
         let mut core = node.core.borrow_mut();
-        let speaks = util::rng().random_bool(told::speaking_share(core.peers.able() + 1));
-        core.quarantine.answered(now(), fingerprint, speaks);
+        let speaks =
+            util::rng().random_bool(report::answer_report_share(core.peers.admitting_vms() + 1));
+        core.quarantine.request_answered(now(), fingerprint, speaks);
     }
     note_changes(node);
 }
@@ -108,7 +111,7 @@
         row.is_some_and(|row| row.leaving.is_none())
     };
     if stays {
-        node.core.borrow_mut().quarantine.lost(now(), lost);
+        node.core.borrow_mut().quarantine.run_lost(now(), lost);
     }
     let ended = pool::turns_away(&run.target.address).await;
     log::info!(endpoint = run.target.instance, ended, stays; "a run lost its connection");
@@ -122,7 +125,10 @@
 
 /// An endpoint is gone that had not said that it leaves.
 pub fn endpoint_ended(node: &Node, endpoint: EndpointId) {
-    node.core.borrow_mut().quarantine.ended(now(), endpoint);
+    node.core
+        .borrow_mut()
+        .quarantine
+        .endpoint_ended(now(), endpoint);
     note_changes(node);
 }
 
@@ -130,7 +136,7 @@
 fn note_changes(node: &Node) {
     let changes = {
         let mut core = node.core.borrow_mut();
-        let held = core.quarantine.held();
+        let held = core.quarantine.held_count();
         node.counters.held.set(held as f64);
         core.quarantine.take_changes()
     };
@@ -143,7 +149,7 @@
     node.tell_quarantine.notify_one();
 }
 
-fn note_change(node: &Node, change: &Change) {
+fn note_change(node: &Node, change: &QuarantineChange) {
     let verdict: &'static str = change.verdict.into();
     let by: &'static str = change.by.into();
     let counter = &node.counters.quarantine;
@@ -167,7 +173,7 @@
 #[derive(Serialize)]
 struct Page<'a> {
     vm: &'a str,
-    requests: Vec<Listed>,
+    requests: Vec<QuarantineListing>,
 }
 
 /// The operators' page of what is suspected and held back.
@@ -179,8 +185,8 @@
 }
 
 /// What is suspected and held back.
-pub fn listed(core: &Core) -> Vec<Listed> {
-    core.quarantine.listed(now())
+pub fn listed(core: &Core) -> Vec<QuarantineListing> {
+    core.quarantine.list(now())
 }
 
 /// Lets a request run again by an operator's word; false when nothing was held against it here.
--- a/src/serve/quarantine/records.rs
+++ b/src/serve/quarantine/records.rs
@@ -8,7 +8,7 @@
 
 use super::{note_changes, now};
 use crate::clock;
-use crate::decide::quarantine::{Fingerprint, Told, Word, HELD_FOR};
+use crate::decide::quarantine::{EvidenceSource, Fingerprint, QuarantineReport, HOLD_TIME};
 use crate::serve::jobs::{encode, write};
 use crate::serve::node::Node;
 use crate::store::{Call, Error, Reply, Txn};
@@ -21,7 +21,7 @@
 /// A request that is held back, as the metadata store keeps it over a restart of all VMs.
 #[derive(Serialize, Deserialize)]
 struct Kept {
-    told: Told,
+    told: QuarantineReport,
     /// Wall-clock time of the write: an age over a restart of everything is known from nothing else. A clock that
     /// jumps by seconds moves the end of ten minutes by as much.
     written_ms: u64,
@@ -61,8 +61,11 @@
                 let lain = clock::unix_ms().saturating_sub(kept.written_ms);
                 let told = kept.told.aged(Duration::from_millis(lain));
                 let mut core = node.core.borrow_mut();
-                if core.quarantine.told(now(), &told, Word::Store) {
-                    core.quarantine.pass_on(told.fingerprint);
+                if core
+                    .quarantine
+                    .apply_report(now(), &told, EvidenceSource::Store)
+                {
+                    core.quarantine.forward(told.fingerprint);
                 }
             }
             // Of another version of this program, which keeps its own.
@@ -75,7 +78,7 @@
 
 /// Writes what this VM holds back by its own word, and removes what is held back no more.
 async fn write_records(node: &Node, written: &mut Vec<Fingerprint>) -> Result<(), Error> {
-    let held = node.core.borrow().quarantine.held_by_own_word();
+    let held = node.core.borrow().quarantine.held_by_local_evidence();
     for fingerprint in &held {
         if !written.contains(fingerprint) {
             write_record(node, *fingerprint).await?;
@@ -84,7 +87,7 @@
     }
     let over: Vec<Fingerprint> = written
         .iter()
-        .filter(|one| !node.core.borrow().quarantine.holds(**one))
+        .filter(|one| !node.core.borrow().quarantine.is_held(**one))
         .copied()
         .collect();
     for fingerprint in over {
@@ -100,14 +103,19 @@
 }
 
 async fn write_record(node: &Node, fingerprint: Fingerprint) -> Result<(), Error> {
-    let Some(told) = node.core.borrow().quarantine.tell(now(), fingerprint, true) else {
+    let Some(told) = node
+        .core
+        .borrow()
+        .quarantine
+        .report(now(), fingerprint, true)
+    else {
         return Ok(());
     };
     let kept = Kept {
         told,
         written_ms: clock::unix_ms(),
     };
-    let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: HELD_FOR }).await? else {
+    let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: HOLD_TIME }).await? else {
         return Err(Error::NoLease);
     };
     let mut record = write(record_key(fingerprint), encode(&kept));
--- a/src/serve/quarantine/telling.rs
+++ b/src/serve/quarantine/telling.rs
@@ -11,7 +11,9 @@
 
 use super::{note_changes, now};
 use crate::clock;
-use crate::decide::quarantine::{told, Fingerprint, Told, Word, TOLD_MAX};
+use crate::decide::quarantine::{
+    report, EvidenceSource, Fingerprint, QuarantineReport, REPORTS_PER_DATAGRAM_MAX,
+};
 use crate::serve::node::Node;
 use crate::serve::peers::{seal, Datagram};
 use crate::util;
@@ -31,7 +33,7 @@
         let changed = timeout(pause, node.tell_quarantine.notified())
             .await
             .is_ok();
-        let untold = node.core.borrow_mut().quarantine.take_untold();
+        let untold = node.core.borrow_mut().quarantine.take_unreported();
         // Datagrams are lost: each change is told twice.
         let told: Vec<Fingerprint> = untold.iter().chain(&again).copied().collect();
         again = untold;
@@ -50,8 +52,9 @@
         let core = node.core.borrow();
         let own = (node.vm, node.domain);
         for one in which {
-            let all = core.quarantine.concerns_all(*one);
-            let (targets, to_all) = told::targets(&core.peers, clock::now(), own, *one, all);
+            let all = core.quarantine.is_fleet_wide(*one);
+            let (targets, to_all) =
+                report::report_targets(&core.peers, clock::now(), own, *one, all);
             for to in targets {
                 by_target.entry((to, to_all)).or_default().push(*one);
             }
@@ -67,7 +70,7 @@
     if node.core.borrow().quarantine.is_empty() {
         return;
     }
-    let known = node.core.borrow().peers.known_addresses();
+    let known = node.core.borrow().peers.all_addresses();
     if let Some(to) = known.choose(&mut util::rng()) {
         tell_held(node, socket, *to);
     }
@@ -81,20 +84,20 @@
 /// The failure: a VM starts anew, knows nothing, and a request that is held back everywhere else runs there once more, at each start.
 /// Whoever hears the new process tells it, before the balancer sends callers there.
 pub fn tell_held(node: &Node, socket: &UdpSocket, to: SocketAddr) {
-    let mut held = node.core.borrow().quarantine.all_held();
-    held.truncate(TOLD_MAX);
+    let mut held = node.core.borrow().quarantine.held_requests();
+    held.truncate(REPORTS_PER_DATAGRAM_MAX);
     if !held.is_empty() {
         tell(node, socket, &held, to, true);
     }
 }
 
 fn tell(node: &Node, socket: &UdpSocket, which: &[Fingerprint], to: SocketAddr, to_all: bool) {
-    for some in which.chunks(TOLD_MAX) {
+    for some in which.chunks(REPORTS_PER_DATAGRAM_MAX) {
         let told = {
             let quarantine = &node.core.borrow().quarantine;
             let told = some
                 .iter()
-                .filter_map(|one| quarantine.tell(now(), *one, to_all));
+                .filter_map(|one| quarantine.report(now(), *one, to_all));
             told.collect()
         };
         if let Some(sealed) = seal(node, &Datagram::Quarantine(told)) {
@@ -105,18 +108,21 @@
 }
 
 /// Takes what another VM tells.
-pub fn heard(node: &Node, socket: &UdpSocket, told: &[Told]) {
+pub fn heard(node: &Node, socket: &UdpSocket, told: &[QuarantineReport]) {
     let mut news = Vec::new();
     {
         let mut core = node.core.borrow_mut();
         for one in told {
-            if !core.quarantine.told(now(), one, Word::Peer) {
+            if !core
+                .quarantine
+                .apply_report(now(), one, EvidenceSource::Peer)
+            {
                 continue;
             }
             match one.to_all {
                 true => news.push(one.fingerprint),
                 // This VM is one that adds up.
-                false => core.quarantine.pass_on(one.fingerprint),
+                false => core.quarantine.forward(one.fingerprint),
             }
         }
     }
@@ -131,7 +137,7 @@
         let peers = &node.core.borrow().peers;
         let passes_on = peers.is_delegate(node.vm) && !news.is_empty();
         let own = (node.vm, node.domain);
-        passes_on.then(|| told::everyone(peers, own))
+        passes_on.then(|| report::all_targets(peers, own))
     };
     for to in targets.unwrap_or_default() {
         tell(node, socket, news, to, true);
--- a/src/serve/quotas.rs
+++ b/src/serve/quotas.rs
@@ -9,9 +9,9 @@
 use super::exchange::Outgoing;
 use super::node::{Core, Node};
 use crate::clock;
-use crate::decide::peers::Counts;
-use crate::decide::quota::{self, Quota, Use, WorkspaceKey};
-use crate::decide::refusal::Kind;
+use crate::decide::peers::QuotaCounts;
+use crate::decide::quota::{self, Quota, QuotaUse, WorkspaceKey};
+use crate::decide::refusal::RefusalKind;
 use crate::decide::routes::RouteTable;
 use crate::id;
 use crate::util;
@@ -29,7 +29,7 @@
         return Ok(None);
     };
     let now = clock::now();
-    let workspace = quota::key(id::of(&name));
+    let workspace = quota::workspace_key(id::of(&name));
     let admitted = {
         let mut core = node.core.borrow_mut();
         let draw = util::rng().random();
@@ -39,7 +39,7 @@
     let Err(after) = admitted else {
         return Ok(Some(Counted { workspace, at: now }));
     };
-    let kind = Kind::QuotaUsed;
+    let kind = RefusalKind::QuotaUsed;
     let reason: &'static str = kind.into();
     node.counters.refused.with_label_values(&[reason]).inc();
     let used = node.core.borrow().quotas.used(now, &name, workspace, quota);
@@ -73,22 +73,22 @@
 }
 
 /// What this VM tells the others of its counts.
-pub fn counts(core: &Core, now: Duration, counts_max: usize) -> Counts {
+pub fn counts(core: &Core, now: Duration, counts_max: usize) -> QuotaCounts {
     let mut rows = core.quotas.counts(now);
     rows.truncate(counts_max);
-    Counts {
+    QuotaCounts {
         counted_for_ms: core.quotas.counted_for(now).as_millis() as u32,
         rows,
     }
 }
 
 /// Whether a workspace with requests here is near its quota, so that the others are to hear of it soon.
-pub fn is_pressed(core: &Core, now: Duration, row: &quota::Count) -> bool {
+pub fn is_pressed(core: &Core, now: Duration, row: &quota::WorkspaceCount) -> bool {
     let quota = core
         .routes
         .as_ref()
         .and_then(|routes| quota_of(routes, row.workspace));
-    quota.is_some_and(|quota| core.quotas.is_pressed(now, row.workspace, quota))
+    quota.is_some_and(|quota| core.quotas.needs_prompt_report(now, row.workspace, quota))
 }
 
 fn quota_of(routes: &RouteTable, workspace: WorkspaceKey) -> Option<Quota> {
@@ -96,7 +96,7 @@
 }
 
 /// What is used of each workspace's quota, for operators: those with requests here.
-pub fn uses(core: &Core, now: Duration) -> Vec<Use> {
+pub fn uses(core: &Core, now: Duration) -> Vec<QuotaUse> {
     let Some(workspaces) = core
         .routes
         .as_ref()
@@ -104,7 +104,7 @@
     else {
         return Vec::new();
     };
-    let used = |count: &quota::Count| {
+    let used = |count: &quota::WorkspaceCount| {
         let workspace = workspaces.by_key(count.workspace)?;
         let quota = workspace.quota?;
         Some(
--- a/src/serve/quotas/records.rs
+++ b/src/serve/quotas/records.rs
@@ -63,7 +63,7 @@
     };
     let near = core
         .quotas
-        .near(now, |workspace| quota_of(routes, workspace));
+        .near_limit(now, |workspace| quota_of(routes, workspace));
     let writes = |workspace: &WorkspaceKey| {
         let rank = core.peers.rank(now, node.vm, u64::from(*workspace));
         rank < WRITERS
@@ -89,7 +89,7 @@
     for item in items {
         let key = item.key.strip_prefix(MARKS).unwrap_or_default();
         match WorkspaceKey::from_str_radix(key, 16) {
-            Ok(workspace) => core.quotas.near_before(workspace),
+            Ok(workspace) => core.quotas.mark_near_limit(workspace),
             Err(error) => log::error!(key = item.key, error:% = error; "a mark can't be read"),
         }
     }
--- a/src/serve/relay.rs
+++ b/src/serve/relay.rs
@@ -50,7 +50,7 @@
 /// Asks another VM. A transaction that may have taken effect can be sent once more: its condition
 /// holds for one of the two at most, and whoever settles it reads back.
 async fn relay(node: &Node, call: Call, first: Outcome) -> Outcome {
-    let to = node.core.borrow().peers.with_store(clock::now());
+    let to = node.core.borrow().peers.peer_with_store(clock::now());
     let Some(to) = to else {
         return first;
     };
--- a/src/serve/replies.rs
+++ b/src/serve/replies.rs
@@ -8,13 +8,13 @@
 use strum::EnumMessage;
 
 use super::body::ReplyBody;
-use crate::decide::refusal::Kind;
+use crate::decide::refusal::RefusalKind;
 
 /// An answer to a caller.
 pub type Reply = Response<ReplyBody>;
 
 /// A refusal. The status says "not run" (503) only where that is true; `after` is when to come back.
-pub fn refusal(kind: Kind, not_run: bool, after: Option<Duration>) -> Reply {
+pub fn refusal(kind: RefusalKind, not_run: bool, after: Option<Duration>) -> Reply {
     let status = match (kind.status(), not_run) {
         // Nothing ran, and the same request may do later: say so.
         (502 | 504, true) => 503,
--- a/src/serve/results.rs
+++ b/src/serve/results.rs
@@ -15,7 +15,7 @@
 use super::peers;
 use super::replies::{self, Reply};
 use crate::clock;
-use crate::decide::refusal::Kind;
+use crate::decide::refusal::RefusalKind;
 use crate::decide::small_jobs::{self, Record};
 use crate::id::{JobId, Name, OwnerId};
 
@@ -66,7 +66,7 @@
         }
         if !behind && caught_up(&node, &job).await {
             let core = node.core.borrow();
-            let told = core.peers.newest_job(clock::now());
+            let told = core.peers.newest_job_revision(clock::now());
             let watched = core.jobs.watched;
             // As it stands after the wait, not before it.
             let current = core.jobs.rows.get(&job).map(|row| row.record.clone());
@@ -163,7 +163,7 @@
     let row = core.jobs.rows.get(job);
     let confirmed = row.is_some_and(|row| now < row.confirmed_at + READ_FRESH);
     let mine = row.is_some_and(|row| owns(node, row.record.owner, now));
-    confirmed || mine || core.peers.none_ahead(now, core.jobs.watched)
+    confirmed || mine || core.peers.all_confirm_jobs(now, core.jobs.watched)
 }
 
 /// Waits a little for this VM's own watch; whether a reader can be told then that there is nothing new.
@@ -215,7 +215,7 @@
             Ok(texts) => texts,
             Err(error) => {
                 log::warn!(job = *record.id, error:% = error; "results can't be read");
-                return replies::refusal(Kind::PlatformAway, true, Some(STORE_AWAY_RETRY));
+                return replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY));
             }
         };
         let listed = &record.listed[position];
--- a/src/serve/runs.rs
+++ b/src/serve/runs.rs
@@ -22,7 +22,7 @@
 use super::node::{note_uses, Node, Stage};
 use super::why::Row;
 use crate::clock;
-use crate::decide::items::{Action, ItemKey, Planner};
+use crate::decide::items::{Action, ItemKey, ItemPlanner};
 use crate::decide::routes::Route;
 use crate::decide::small_jobs::{Finished, Item, ItemIndex, Outcome, Record};
 use crate::id::{self, ConfigVersion, Epoch, JobId, ServiceId};
@@ -176,10 +176,10 @@
         let mut guard = node.core.borrow_mut();
         let core = &mut *guard;
         note_uses(core);
-        let own = Planner {
+        let own = ItemPlanner {
             vm: node.vm,
             domain: node.domain,
-            rivals: &core.peers.with_waiting(now, node.domain, node.vm),
+            rivals: &core.peers.competing_vms(now, node.domain, node.vm),
             starting: core.stage == Stage::Serving,
         };
         let endpoints = &core.online.endpoints;
--- a/src/serve/runs/item.rs
+++ b/src/serve/runs/item.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::decide::items::ItemKey;
 use crate::decide::quarantine::Fingerprint;
-use crate::decide::retry::{Reach, TRIES_MAX};
+use crate::decide::retry::{AttemptStage, TRIES_MAX};
 use crate::decide::small_jobs::{Item, Outcome};
 use crate::id::EndpointId;
 use crate::serve::events::{check_next, Splitter};
@@ -142,7 +142,7 @@
                 .filter(|_| failure.blame)
             {
                 match failure.reach {
-                    Reach::NotSent => row.unreachable(now),
+                    AttemptStage::NotSent => row.unreachable(now),
                     _ => row.failed(now),
                 }
             }
@@ -199,7 +199,7 @@
 ) -> End {
     let failed = |reach, detail: &str| End::Failed(Failure::blamed(reach, detail));
     let Some(target) = node.target(endpoint) else {
-        let gone = Failure::unblamed(Reach::NotSent, "the endpoint is gone");
+        let gone = Failure::unblamed(AttemptStage::NotSent, "the endpoint is gone");
         return End::Failed(gone);
     };
     if let Err(back_in) = quarantine::admit(node, out, Trial::Here) {
@@ -209,13 +209,13 @@
     let answer = match timeout(EVENT_TIMEOUT, sent).await {
         Ok(Ok(answer)) => answer,
         Ok(Err(failure)) => return End::Failed(failure),
-        Err(_) => return failed(Reach::MaybeSent, "no answer in time"),
+        Err(_) => return failed(AttemptStage::MaybeSent, "no answer in time"),
     };
     match answer.head.status {
         StatusCode::OK if answer.said.signed => {}
         StatusCode::UNPROCESSABLE_ENTITY => return End::Rejected,
         StatusCode::INTERNAL_SERVER_ERROR => return End::ItemFailed,
-        status => return failed(Reach::MaybeSent, &format!("answered {status}")),
+        status => return failed(AttemptStage::MaybeSent, &format!("answered {status}")),
     }
     let keep_alive = exchange::keep_alive(&answer.head);
     let read = read_events(node, key, endpoint, answer.body).await;
@@ -231,8 +231,8 @@
     endpoint: EndpointId,
     mut body: Incoming,
 ) -> End {
-    let broken = |detail: String| End::Failed(Failure::blamed(Reach::Answering, detail));
-    let lost = |detail: String| End::Failed(Failure::lost(Reach::Answering, detail));
+    let broken = |detail: String| End::Failed(Failure::blamed(AttemptStage::Answering, detail));
+    let lost = |detail: String| End::Failed(Failure::lost(AttemptStage::Answering, detail));
     let mut splitter = Splitter::default();
     loop {
         let frame = match timeout(EVENT_TIMEOUT, body.frame()).await {
--- a/src/serve/summary.rs
+++ b/src/serve/summary.rs
@@ -7,7 +7,7 @@
 
 use super::node::Node;
 use crate::clock;
-use crate::decide::idle::Reason;
+use crate::decide::idle::IdleReason;
 
 /// Time between two lines: six a minute, whatever the load.
 const PAUSE: Duration = Duration::from_secs(10);
@@ -50,13 +50,13 @@
         queued = core.online.waiting(now).iter().map(|lane| lane.queued).sum::<usize>(),
         items,
         items_running,
-        idle_turn_ms = core.items.idle.lost(Reason::Turn).as_millis() as u64,
-        idle_pause_ms = core.items.idle.lost(Reason::Pause).as_millis() as u64,
-        idle_stopping_ms = core.items.idle.lost(Reason::Stopping).as_millis() as u64,
+        idle_turn_ms = core.items.idle.lost(IdleReason::Turn).as_millis() as u64,
+        idle_pause_ms = core.items.idle.lost(IdleReason::Pause).as_millis() as u64,
+        idle_stopping_ms = core.items.idle.lost(IdleReason::Stopping).as_millis() as u64,
         endpoints_usable = rows.iter().filter(|row| row.usable(now)).count(),
         endpoints = rows.len(),
-        endpoints_kept = core.discovery.kept(),
-        vms = core.peers.living(now),
+        endpoints_kept = core.discovery.kept_count(),
+        vms = core.peers.living_vms(now),
         store_gets = calls[0],
         store_ranges = calls[1],
         store_watches = calls[2],
--- a/src/serve/watch.rs
+++ b/src/serve/watch.rs
@@ -10,8 +10,8 @@
 use super::proving::{ask_store, proof_due_in};
 use super::retire::retire;
 use crate::clock;
-use crate::decide::discovery::{Known, Source};
-use crate::decide::proofs::Subject;
+use crate::decide::discovery::{KnownEntry, SnapshotSource};
+use crate::decide::freshness::StoreSubject;
 use crate::id::{self, Revision};
 use crate::store::{Change, Error, Item};
 use crate::util;
@@ -71,7 +71,7 @@
 /// What is followed, and the prefix of its keys.
 #[derive(Clone, Copy)]
 pub struct Followed {
-    pub subject: Subject,
+    pub subject: StoreSubject,
     pub prefix: &'static str,
 }
 
@@ -160,16 +160,18 @@
 ///
 /// The failure: each of 250 VMs has a watch of its own, and an endpoint that leaves and is replaced is told by
 /// a thousand calls, which are priced and rated. Delegates alone make a twentieth of them.
-fn is_told(node: &Node, subject: Subject) -> bool {
+fn is_told(node: &Node, subject: StoreSubject) -> bool {
     let own = node.own();
     settles(node) || {
         let core = node.core.borrow();
-        knows_all(&core) && core.peers.is_told(clock::now(), own) && !steps_in(node, subject)
+        knows_all(&core)
+            && core.peers.is_updated_by_delegate(clock::now(), own)
+            && !steps_in(node, subject)
     }
 }
 
 /// Whether this VM, which delegates speak for, is to follow the store itself, since they prove nothing.
-fn steps_in(node: &Node, subject: Subject) -> bool {
+fn steps_in(node: &Node, subject: StoreSubject) -> bool {
     proof_due_in(node, subject).is_some_and(|left| left.is_zero())
 }
 
@@ -178,11 +180,11 @@
     let own = node.own();
     let core = node.core.borrow();
     let starts = clock::now() < node.started_at + SETTLE;
-    starts && knows_all(&core) && core.peers.is_spoken_for(own)
+    starts && knows_all(&core) && core.peers.is_represented(own)
 }
 
 fn knows_all(core: &Core) -> bool {
-    core.routes.is_some() && core.discovery.known()
+    core.routes.is_some() && core.discovery.is_loaded()
 }
 
 /// Asks nobody for a while.
@@ -205,7 +207,7 @@
 /// The rules, and requests to empty VMs.
 pub async fn operators(node: Rc<Node>) {
     let followed = Followed {
-        subject: Subject::Rules,
+        subject: StoreSubject::Rules,
         prefix: node.dialect.keys.operators,
     };
     let take = |node: &Node, news: News, _| {
@@ -239,7 +241,7 @@
 /// The endpoints.
 pub async fn endpoints(node: Rc<Node>) {
     let followed = Followed {
-        subject: Subject::Endpoints,
+        subject: StoreSubject::Endpoints,
         prefix: node.dialect.keys.endpoints,
     };
     let take = |node: &Node, news: News, revision| {
@@ -268,15 +270,17 @@
         }
     }
     let mut core = node.core.borrow_mut();
-    let replaced = core.discovery.replaced(now, entries, at, Source::Store);
+    let replaced = core
+        .discovery
+        .apply_snapshot(now, entries, at, SnapshotSource::Store);
     changed || replaced
 }
 
 /// What an entry says; `None` when it names no endpoint to use.
-fn entry(node: &Node, item: &Item) -> Option<Known> {
+fn entry(node: &Node, item: &Item) -> Option<KnownEntry> {
     let name = entry_name(node, &item.key);
     match (node.dialect.registration)(name, &item.value) {
-        Ok(entry) => Some(Known {
+        Ok(entry) => Some(KnownEntry {
             id: id::of(name),
             entry,
             revision: item.revision,
@@ -296,7 +300,7 @@
 fn unusable(node: &Node, now: Duration, item: &Item) -> bool {
     let id = id::of(entry_name(node, &item.key));
     let mut core = node.core.borrow_mut();
-    core.discovery.unusable(now, id, item.revision)
+    core.discovery.apply_unusable(now, id, item.revision)
 }
 
 /// Takes one change of an endpoint's entry; true when it matters.
@@ -308,12 +312,12 @@
             };
             let mut core = node.core.borrow_mut();
             core.discovery
-                .written(now, known.id, known.entry, known.revision)
+                .apply_entry(now, known.id, known.entry, known.revision)
         }
         Change::Deleted { key, revision } => {
             let id = id::of(entry_name(node, key));
             let mut core = node.core.borrow_mut();
-            core.discovery.removed(now, id, *revision)
+            core.discovery.apply_removal(now, id, *revision)
         }
     }
 }
--- a/src/serve/why.rs
+++ b/src/serve/why.rs
@@ -7,7 +7,7 @@
 use super::node::{Node, Stage};
 use super::runs;
 use crate::clock;
-use crate::decide::online::Waiting;
+use crate::decide::online::ServiceQueue;
 
 /// One thing that waits.
 #[derive(Debug, Serialize)]
@@ -40,7 +40,7 @@
     let core = node.core.borrow();
     let missing = [
         (core.routes.is_none(), "the first rules"),
-        (!core.discovery.known(), "the first list of endpoints"),
+        (!core.discovery.is_loaded(), "the first list of endpoints"),
         (!node.store_answers.get(), "the metadata store to answer"),
         (core.stage == Stage::Draining, "its last requests to end"),
     ];
@@ -58,7 +58,7 @@
     let core = node.core.borrow();
     let queued = core.online.waiting(now).into_iter();
     let queued = queued.filter(|waiting| waiting.queued > 0);
-    let goal = |waiting: &Waiting| core.online.services.get(&waiting.service);
+    let goal = |waiting: &ServiceQueue| core.online.services.get(&waiting.service);
     queued
         .map(|waiting| Row {
             what: format!("{} online requests", waiting.queued),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -10,7 +10,7 @@
 
 use crate::config::check::Fault;
 use crate::config::load;
-use crate::decide::peers::MESH_MAX;
+use crate::decide::peers::FULL_MESH_VMS_MAX;
 use crate::decide::routing::Policy;
 use crate::id::Name;
 
@@ -236,7 +236,7 @@
 }
 
 fn default_mesh_max() -> usize {
-    MESH_MAX
+    FULL_MESH_VMS_MAX
 }
 
 fn default_drain_ms() -> u64 {
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -1,6 +1,6 @@
 //! Endpoints for tables, in tests and benchmarks of decisions.
 
-use crate::decide::endpoints::Declared;
+use crate::decide::endpoints::EndpointConfig;
 use crate::id::{self, DomainId, EndpointId, ServiceId};
 
 /// Endpoints `endpoint-0` and on of one service, each in the failure domain that `domain` gives it.
@@ -9,10 +9,10 @@
     service: ServiceId,
     slots: f64,
     domain: impl Fn(usize) -> DomainId,
-) -> impl Iterator<Item = (EndpointId, Declared)> {
+) -> impl Iterator<Item = (EndpointId, EndpointConfig)> {
     (0..count).map(move |at| {
         let name = format!("endpoint-{at}");
-        let declared = Declared {
+        let declared = EndpointConfig {
             name: name.as_str().into(),
             domain: domain(at),
             service,
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -8,9 +8,9 @@
 use snafu::Snafu;
 
 use crate::config::Versioned;
-use crate::decide::batch::place::Crew;
+use crate::decide::batch::place::BatchPeers;
 use crate::decide::fleet::Heartbeat;
-use crate::decide::intents::{Ask, IntentKey, Verdict};
+use crate::decide::intents::{IntentKey, IntentRequest, IntentVerdict};
 use crate::decide::jobs::JobRecord;
 use crate::id::{ConfigVersion, EndpointId, OwnerId, Revision, ServiceId};
 
@@ -56,7 +56,7 @@
     /// Job records that changed after this revision.
     Jobs { after: Revision },
     /// A question to the owner of a range of intents.
-    Intent { key: IntentKey, ask: Ask },
+    Intent { key: IntentKey, ask: IntentRequest },
     /// Keep this content.
     Put { digest: String, content: Bytes },
     /// Give this content.
@@ -73,7 +73,7 @@
         revision: Revision,
         records: Vec<(Revision, JobRecord)>,
     },
-    Intent(Verdict),
+    Intent(IntentVerdict),
     Kept,
     Content(Option<Bytes>),
     Has(Vec<bool>),
@@ -87,7 +87,7 @@
     Config(Box<Versioned>),
     /// All jobs that have not ended.
     Jobs(Vec<JobRecord>),
-    Crew(Crew),
+    Crew(BatchPeers),
     /// Batch items that each endpoint may have now.
     Windows(Vec<(EndpointId, ServiceId, u32)>),
     /// The VM leaves: hand over what is held.
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use bramleyseam::decide::commit::Answer;
-use bramleyseam::decide::intents::{Action, Answered, Ask, Mark, Page, Range, Verdict};
+use bramleyseam::decide::intents::{
+    Action, IntentPage, IntentRecord, IntentRequest, IntentVerdict, Range, RecordedAnswer,
+};
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -12,9 +14,9 @@
 const STEP: Duration = Duration::from_millis(20);
 
 enum Event {
-    Listed(Option<Vec<(u64, Page)>>),
+    Listed(Option<Vec<(u64, IntentPage)>>),
     Written(Answer),
-    Read(Option<Option<(u64, Page)>>),
+    Read(Option<Option<(u64, IntentPage)>>),
 }
 
 struct Owner {
@@ -26,7 +28,7 @@
 struct World {
     rng: SmallRng,
     step: u32,
-    log: BTreeMap<u64, Page>,
+    log: BTreeMap<u64, IntentPage>,
     owners: Vec<Owner>,
     asked: HashMap<u64, (usize, String)>,
     next_ticket: u64,
@@ -36,8 +38,8 @@
     outage: bool,
 }
 
-fn answered(key: &str) -> Answered {
-    Answered {
+fn answered(key: &str) -> RecordedAnswer {
+    RecordedAnswer {
         status: 200,
         content_type: "text/plain".into(),
         body: Some(key.to_owned()),
@@ -71,7 +73,7 @@
         STEP * self.step
     }
 
-    fn ask(&mut self, owner: usize, key: &str, ask: Ask) {
+    fn ask(&mut self, owner: usize, key: &str, ask: IntentRequest) {
         self.next_ticket += 1;
         self.asked.insert(self.next_ticket, (owner, key.to_owned()));
         let mut out = Vec::new();
@@ -82,7 +84,7 @@
         self.perform(owner, out);
     }
 
-    fn put(&mut self, slot: u64, page: Page) -> Answer {
+    fn put(&mut self, slot: u64, page: IntentPage) -> Answer {
         if self.outage || self.rng.random_bool(0.1) {
             return if self.rng.random_bool(0.5) {
                 Answer::Away
@@ -128,26 +130,30 @@
         }
     }
 
-    fn told(&mut self, ticket: u64, verdict: Verdict) {
+    fn told(&mut self, ticket: u64, verdict: IntentVerdict) {
         let (owner, key) = self.asked[&ticket].clone();
         match verdict {
-            Verdict::Go if !key.starts_with("end-") => {
+            IntentVerdict::Go if !key.starts_with("end-") => {
                 *self.ran.entry(key.clone()).or_default() += 1;
                 // Some answers are never recorded: their VM died.
                 if self.rng.random_bool(0.7) {
-                    let mark = Mark::Answered(answered(&key));
+                    let mark = IntentRecord::Answered(answered(&key));
                     self.next_ticket += 1;
                     self.asked
                         .insert(self.next_ticket, (owner, format!("end-{key}")));
                     let mut out = Vec::new();
                     let (now, ticket) = (self.now(), self.next_ticket);
-                    self.owners[owner]
-                        .range
-                        .ask(now, ticket, key, Ask::End(mark), &mut out);
+                    self.owners[owner].range.ask(
+                        now,
+                        ticket,
+                        key,
+                        IntentRequest::End(mark),
+                        &mut out,
+                    );
                     self.perform(owner, out);
                 }
             }
-            Verdict::Replay(answer) => {
+            IntentVerdict::Replay(answer) => {
                 assert_eq!(answer, answered(&key), "another key's answer");
                 self.replayed += 1;
             }
@@ -209,7 +215,7 @@
             world.ask(
                 owner,
                 &key,
-                Ask::Begin {
+                IntentRequest::Begin {
                     content: "same".into(),
                 },
             );
@@ -248,7 +254,7 @@
         at(0),
         1,
         "key".into(),
-        Ask::Begin {
+        IntentRequest::Begin {
             content: "c".into(),
         },
         &mut out,
@@ -266,14 +272,14 @@
         .filter_map(|action| match action {
             Action::Tell {
                 ticket,
-                verdict: Verdict::Away,
+                verdict: IntentVerdict::Away,
             } => Some(*ticket),
             _ => None,
         })
         .collect();
     assert!(told.contains(&1), "{out:?}");
     out.clear();
-    let page = Page {
+    let page = IntentPage {
         nonce: 2,
         at_ms: 0,
         entries: Vec::new(),
@@ -281,7 +287,9 @@
     range.read(at(2_100), Some(Some((1, page))), &mut out);
     range.tick(at(2_300), &mut out);
     let released = out.iter().any(|action| match action {
-        Action::Write { slot: 1, page } => page.entries == [("key".to_owned(), Mark::Released)],
+        Action::Write { slot: 1, page } => {
+            page.entries == [("key".to_owned(), IntentRecord::Released)]
+        }
         _ => false,
     });
     assert!(released, "{out:?}");
--- a/tests/batch_items.rs
+++ b/tests/batch_items.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
-use bramleyseam::decide::items::{Action, ItemKey, Items, Planner, KEPT_SHARE, YIELDED_PAUSE};
-use bramleyseam::decide::usage::{own_part, Usage, Use};
+use bramleyseam::decide::items::{Action, ItemKey, ItemPlanner, Items, KEPT_SHARE, YIELDED_PAUSE};
+use bramleyseam::decide::usage::{own_excess, EndpointUse, Usage};
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
 
@@ -19,7 +19,7 @@
 
 fn endpoints(count: usize) -> Endpoints {
     let mut endpoints = Endpoints::default();
-    endpoints.declare(declared(count, SERVICE, f64::from(SLOTS), |_| HOME));
+    endpoints.configure(declared(count, SERVICE, f64::from(SLOTS), |_| HOME));
     endpoints
 }
 
@@ -39,7 +39,7 @@
 }
 
 fn plan(items: &mut Items, now: Duration, endpoints: &Endpoints, usage: &Usage) -> Vec<Action> {
-    let own = Planner {
+    let own = ItemPlanner {
         vm: VM,
         domain: HOME,
         rivals: &[],
@@ -154,12 +154,12 @@
     let mut items = items(4, ms(18_000));
     plan(&mut items, ms(0), &endpoints, &Usage::default());
     let mut usage = Usage::default();
-    let elsewhere = Use {
+    let elsewhere = EndpointUse {
         online: 2,
         batch: 4,
         urgent: 0,
     };
-    usage.said(ms(0), 3, [(endpoints.rows[0].id, elsewhere)]);
+    usage.apply_report(ms(0), 3, [(endpoints.rows[0].id, elsewhere)]);
     endpoints.rows[0].online_here = 0;
     assert_eq!(
         stops(&plan(&mut items, ms(10), &endpoints, &usage)).len(),
@@ -171,7 +171,7 @@
 fn draining_starts_none() {
     let endpoints = endpoints(1);
     let mut items = items(4, ms(18_000));
-    let draining = Planner {
+    let draining = ItemPlanner {
         vm: VM,
         domain: HOME,
         rivals: &[],
@@ -196,7 +196,7 @@
             .map(|own| {
                 let others: Vec<(u64, u32)> =
                     rows.iter().filter(|row| row.0 != own.0).copied().collect();
-                own_part(u32::from(excess), *own, &others)
+                own_excess(u32::from(excess), *own, &others)
             })
             .sum();
         given == u32::from(excess).min(all)
--- a/tests/batch_machine.rs
+++ b/tests/batch_machine.rs
@@ -3,13 +3,16 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use bramleyseam::decide::batch::place::{Crew, Hands};
-use bramleyseam::decide::batch::{Action, Batch, ChunkKey, End, Event, JobView, Planned, Work};
+use bramleyseam::decide::batch::place::{BatchPeers, ServiceWorkers};
+use bramleyseam::decide::batch::{
+    Action, AttemptEnd, Batch, ChunkKey, Event, ItemWork, JobView, PlannedItem,
+};
 use bramleyseam::decide::commit::Answer;
 use bramleyseam::decide::jobs::{
-    ChunkRecord, ChunkState, Counts, JobRecord, JobState, Place, ResultSegment, Segment,
+    ChunkRecord, ChunkState, ContentLocation, ItemCounts, JobRecord, JobState, ResultSegment,
+    Segment,
 };
-use bramleyseam::decide::retry::Reach;
+use bramleyseam::decide::retry::AttemptStage;
 use bytes::Bytes;
 use quickcheck::{quickcheck, TestResult};
 use rand::rngs::SmallRng;
@@ -43,7 +46,7 @@
     paused_until: u32,
     hidden_until: u32,
     /// Jobs and VMs as it was last told.
-    told: Option<(Vec<JobView>, Crew)>,
+    told: Option<(Vec<JobView>, BatchPeers)>,
 }
 
 struct World {
@@ -81,9 +84,9 @@
             created_ms: 0,
             deadline_ms: u64::MAX,
             ended_ms: None,
-            counts: Counts {
+            counts: ItemCounts {
                 total: ITEMS * CHUNKS,
-                ..Counts::default()
+                ..ItemCounts::default()
             },
             nonce: 1,
         };
@@ -164,29 +167,29 @@
             digest,
             bytes: 0,
             lines: count,
-            place: Place::Inline,
+            place: ContentLocation::Inline,
         };
         ResultSegment { segment, errors }
     }
 
-    fn execute(&mut self, key: &ChunkKey, item: u32) -> End {
+    fn execute(&mut self, key: &ChunkKey, item: u32) -> AttemptEnd {
         if self.chance(self.faults.endpoint_fails) {
             let reach = match self.rng.random_range(0..3) {
-                0 => Reach::NotSent,
-                1 => Reach::Refused,
-                _ => Reach::MaybeSent,
+                0 => AttemptStage::NotSent,
+                1 => AttemptStage::Refused,
+                _ => AttemptStage::MaybeSent,
             };
-            if reach == Reach::MaybeSent && self.chance(0.5) {
+            if reach == AttemptStage::MaybeSent && self.chance(0.5) {
                 *self.executions.entry((key.chunk, item)).or_default() += 1;
             }
-            return End::Failed {
+            return AttemptEnd::Failed {
                 reach,
                 died: false,
                 detail: "fake".into(),
             };
         }
         *self.executions.entry((key.chunk, item)).or_default() += 1;
-        End::Done(Bytes::from(format!("{}/{item}", key.chunk)))
+        AttemptEnd::Done(Bytes::from(format!("{}/{item}", key.chunk)))
     }
 
     fn perform(&mut self, vm: usize, action: Action) {
@@ -245,7 +248,7 @@
                 // A try whose endpoint died ends so, whatever was asked of it meanwhile.
                 let waiting = |event: &Event| match event {
                     Event::Ended { flight: f, end } => {
-                        *f == flight && !matches!(end, End::Failed { died: true, .. })
+                        *f == flight && !matches!(end, AttemptEnd::Failed { died: true, .. })
                     }
                     _ => false,
                 };
@@ -255,7 +258,7 @@
                         at,
                         Event::Ended {
                             flight,
-                            end: End::Cancelled,
+                            end: AttemptEnd::Cancelled,
                         },
                     );
                 }
@@ -271,8 +274,8 @@
 
     /// All items under way at the VM's endpoint fail with it.
     fn endpoint_dies(&mut self, vm: usize, at: u32, flight: u64) {
-        let died = || End::Failed {
-            reach: Reach::MaybeSent,
+        let died = || AttemptEnd::Failed {
+            reach: AttemptStage::MaybeSent,
             died: true,
             detail: "died".into(),
         };
@@ -290,22 +293,22 @@
         ));
     }
 
-    fn plan(&self) -> Vec<Planned> {
+    fn plan(&self) -> Vec<PlannedItem> {
         let idempotent = !self.faults.non_repeatable;
         (0..ITEMS)
             .map(|item| {
                 let custom_id = Bytes::from(format!("\"{item}\""));
                 let work = match item {
-                    0 => Work::Bad {
+                    0 => ItemWork::Bad {
                         code: "invalid_line",
                         message: "fake".into(),
                     },
-                    _ => Work::Run {
+                    _ => ItemWork::Run {
                         service: SERVICE,
                         idempotent,
                     },
                 };
-                Planned { custom_id, work }
+                PlannedItem { custom_id, work }
             })
             .collect()
     }
@@ -379,12 +382,12 @@
             .collect();
         let vms: Vec<u64> = seen.iter().map(|(at, _)| *at as u64 + 1).collect();
         let owners = seen.iter().map(|(_, state)| state.batch.owner()).collect();
-        let hands = Hands {
+        let hands = ServiceWorkers {
             service: SERVICE,
             vms: vms.clone(),
             domains: vec![1],
         };
-        let crew = Crew {
+        let crew = BatchPeers {
             own: vm as u64 + 1,
             own_domain: 1,
             vms,
--- a/tests/caller_keys.rs
+++ b/tests/caller_keys.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use bramleyseam::decide::access::{self, Caller, Credential, KeyDigest, Workspace, Workspaces};
-use bramleyseam::decide::proofs::{Proofs, Subject};
-use bramleyseam::decide::refusal::Kind;
+use bramleyseam::decide::access::{
+    self, CallerIdentity, Credential, KeyDigest, Workspace, Workspaces,
+};
+use bramleyseam::decide::freshness::{Freshness, StoreSubject};
+use bramleyseam::decide::refusal::RefusalKind;
 use quickcheck::quickcheck;
 
 const NOW: Duration = Duration::from_secs(100);
@@ -30,9 +32,9 @@
 }
 
 /// Rules that were proved so long ago.
-fn proved(age: Duration) -> Proofs {
-    let mut proofs = Proofs::default();
-    proofs.proved(Subject::Rules, NOW - age);
+fn proved(age: Duration) -> Freshness {
+    let mut proofs = Freshness::default();
+    proofs.confirm(StoreSubject::Rules, NOW - age);
     proofs
 }
 
@@ -40,10 +42,10 @@
     Credential::Key(KeyDigest::of(key.as_bytes()))
 }
 
-fn name_of(shown: Credential, public: bool, age: Duration) -> Result<String, Kind> {
+fn name_of(shown: Credential, public: bool, age: Duration) -> Result<String, RefusalKind> {
     let rules = workspaces();
     let proofs = proved(age);
-    let caller = access::caller(NOW, Some(&rules), public, shown, &proofs)?;
+    let caller = access::identify_caller(NOW, Some(&rules), public, shown, &proofs)?;
     Ok(caller
         .name()
         .map_or_else(String::new, |name| name.to_string()))
@@ -55,14 +57,17 @@
     assert_eq!(name_of(shown("a"), false, young), Ok("hall".into()));
     assert_eq!(name_of(shown("b"), false, young), Ok("hall".into()));
     assert_eq!(name_of(shown("c"), false, young), Ok("port".into()));
-    assert_eq!(name_of(shown("d"), false, young), Err(Kind::Unauthorized));
+    assert_eq!(
+        name_of(shown("d"), false, young),
+        Err(RefusalKind::Unauthorized)
+    );
     assert_eq!(
         name_of(Credential::Missing, false, young),
-        Err(Kind::Unauthorized)
+        Err(RefusalKind::Unauthorized)
     );
     assert_eq!(
         name_of(Credential::Unreadable, false, young),
-        Err(Kind::Unauthorized)
+        Err(RefusalKind::Unauthorized)
     );
 }
 
@@ -70,10 +75,10 @@
 #[test]
 fn unsure_comes_back() {
     let old = Duration::from_secs(5);
-    assert_eq!(name_of(shown("d"), false, old), Err(Kind::NotReady));
+    assert_eq!(name_of(shown("d"), false, old), Err(RefusalKind::NotReady));
     assert_eq!(
         name_of(Credential::Missing, false, old),
-        Err(Kind::NotReady)
+        Err(RefusalKind::NotReady)
     );
     // What is known is served on: an outage of the store would stop everything otherwise.
     assert_eq!(name_of(shown("a"), false, old), Ok("hall".into()));
@@ -91,8 +96,8 @@
 fn rules_without_workspaces() {
     let proofs = proved(Duration::ZERO);
     for shown in [Credential::Missing, shown("a"), Credential::Unreadable] {
-        let caller = access::caller(NOW, None, false, shown, &proofs);
-        assert_eq!(caller, Ok(Caller::Anyone));
+        let caller = access::identify_caller(NOW, None, false, shown, &proofs);
+        assert_eq!(caller, Ok(CallerIdentity::Anyone));
     }
 }
 
@@ -112,7 +117,7 @@
     fn only_own_keys(keys: Vec<String>, asked: String) -> bool {
         let rows = vec![workspace("one", &keys.iter().map(String::as_str).collect::<Vec<_>>())];
         let rules = Workspaces::new(rows);
-        let known = rules.of_key(&KeyDigest::of(asked.as_bytes())).is_some();
+        let known = rules.by_digest(&KeyDigest::of(asked.as_bytes())).is_some();
         known == keys.contains(&asked)
     }
 
--- a/tests/endpoint_discovery.rs
+++ b/tests/endpoint_discovery.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bramleyseam::decide::discovery::{
-    Discovery, Known, Registration, Source, CUT_OFF_AFTER, OUTAGE_MIN, RETURN_GRACE,
+    Discovery, KnownEntry, Registration, SnapshotSource, CUT_OFF_AFTER, OUTAGE_MIN, RETURN_GRACE,
 };
 use bramleyseam::id;
 use quickcheck::quickcheck;
@@ -35,20 +35,20 @@
 fn three() -> Discovery {
     let mut discovery = Discovery::default();
     let names = ["a", "b", "c"];
-    let entries = names.map(|name| Known {
+    let entries = names.map(|name| KnownEntry {
         id: id::of(name),
         entry: entry(name, false),
         revision: 5,
         lapsing: None,
     });
-    discovery.replaced(ms(0), entries, 10, Source::Store);
+    discovery.apply_snapshot(ms(0), entries, 10, SnapshotSource::Store);
     discovery
 }
 
 #[test]
 fn removed_at_once() {
     let mut discovery = three();
-    assert!(discovery.removed(ms(100), id::of("a"), 11));
+    assert!(discovery.apply_removal(ms(100), id::of("a"), 11));
     assert_eq!(usable(&discovery).len(), 2);
 }
 
@@ -60,10 +60,10 @@
     let mut discovery = three();
     discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
     for name in ["a", "b", "c"] {
-        assert!(!discovery.removed(ms(5_200), id::of(name), 20));
+        assert!(!discovery.apply_removal(ms(5_200), id::of(name), 20));
     }
     assert_eq!(usable(&discovery).len(), 3);
-    discovery.written(ms(5_250), id::of("a"), entry("a", false), 21);
+    discovery.apply_entry(ms(5_250), id::of("a"), entry("a", false), 21);
     assert!(!discovery.tick(ms(5_300)));
     assert!(discovery.tick(ms(5_200) + RETURN_GRACE));
     assert_eq!(usable(&discovery), [id::of("a")]);
@@ -75,14 +75,14 @@
 fn one_failed_call() {
     let mut discovery = three();
     discovery.store_failed(ms(5_000), ms(5_000), false);
-    assert!(discovery.removed(ms(5_200), id::of("a"), 20));
+    assert!(discovery.apply_removal(ms(5_200), id::of("a"), 20));
     // Each failure is followed by an answer: the store is not away.
     discovery.store_answered(ms(5_300));
     discovery.store_failed(ms(5_000) + OUTAGE_MIN, ms(4_900), false);
-    assert!(discovery.removed(ms(5_100) + OUTAGE_MIN, id::of("b"), 21));
+    assert!(discovery.apply_removal(ms(5_100) + OUTAGE_MIN, id::of("b"), 21));
     // They fail one after the other, and none is answered.
     discovery.store_failed(ms(5_300) + OUTAGE_MIN, ms(5_300) + OUTAGE_MIN, false);
-    assert!(!discovery.removed(ms(5_400) + OUTAGE_MIN, id::of("c"), 22));
+    assert!(!discovery.apply_removal(ms(5_400) + OUTAGE_MIN, id::of("c"), 22));
 }
 
 // A request reaches an engine that left 0.8 s after the store's return, and was taken for lapsed in the outage. Living
@@ -92,7 +92,7 @@
     let mut discovery = three();
     discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
     discovery.store_answered(ms(5_100));
-    assert!(!discovery.removed(ms(5_900), id::of("b"), 20));
+    assert!(!discovery.apply_removal(ms(5_900), id::of("b"), 20));
     assert!(discovery.tick(ms(5_100) + RETURN_GRACE));
     assert!(!usable(&discovery).contains(&id::of("b")));
 }
@@ -110,7 +110,7 @@
         discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
         let since = ms(5_000) - OUTAGE_MIN;
         discovery.store_failed(since + failing, since + failing, others_served);
-        let removed = discovery.removed(since + failing + ms(200), id::of("b"), 20);
+        let removed = discovery.apply_removal(since + failing + ms(200), id::of("b"), 20);
         assert_eq!(removed, !kept);
     }
 }
@@ -122,7 +122,7 @@
 fn leaves_after_outage() {
     let mut discovery = three();
     discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
-    assert!(discovery.removed(ms(7_100), id::of("b"), 30));
+    assert!(discovery.apply_removal(ms(7_100), id::of("b"), 30));
     assert!(!usable(&discovery).contains(&id::of("b")));
 }
 
@@ -131,9 +131,9 @@
 #[test]
 fn drain_is_final() {
     let mut discovery = three();
-    discovery.written(ms(5_250), id::of("c"), entry("c", true), 40);
-    discovery.written(ms(5_250), id::of("c"), entry("c", false), 39);
-    discovery.written(ms(5_250), id::of("c"), entry("c", false), 41);
+    discovery.apply_entry(ms(5_250), id::of("c"), entry("c", true), 40);
+    discovery.apply_entry(ms(5_250), id::of("c"), entry("c", false), 39);
+    discovery.apply_entry(ms(5_250), id::of("c"), entry("c", false), 41);
     assert!(!usable(&discovery).contains(&id::of("c")));
 }
 
@@ -143,12 +143,12 @@
 #[test]
 fn lapse_not_revived() {
     let (mut away, mut other) = (three(), three());
-    other.removed(ms(5_000), id::of("b"), 12);
+    other.apply_removal(ms(5_000), id::of("b"), 12);
     away.store_failed(ms(5_100), ms(5_100) - OUTAGE_MIN, false);
     let stands = other.export(ms(5_100));
-    away.replaced(ms(5_100), stands, 13, Source::Store);
+    away.apply_snapshot(ms(5_100), stands, 13, SnapshotSource::Store);
     let told = away.export(ms(5_200));
-    other.replaced(ms(5_300), told, 14, Source::Peer);
+    other.apply_snapshot(ms(5_300), told, 14, SnapshotSource::Peer);
     assert!(!usable(&other).contains(&id::of("b")));
 }
 
@@ -157,9 +157,9 @@
 #[test]
 fn peer_tells_removal() {
     let (mut away, mut other) = (three(), three());
-    other.removed(ms(5_000), id::of("b"), 12);
+    other.apply_removal(ms(5_000), id::of("b"), 12);
     away.store_failed(ms(5_100), ms(5_100) - OUTAGE_MIN, false);
-    away.replaced(ms(5_200), other.export(ms(5_200)), 12, Source::Peer);
+    away.apply_snapshot(ms(5_200), other.export(ms(5_200)), 12, SnapshotSource::Peer);
     assert!(!usable(&away).contains(&id::of("b")));
 }
 
@@ -168,9 +168,9 @@
 #[test]
 fn drained_stays_away() {
     let mut discovery = three();
-    discovery.written(ms(5_250), id::of("c"), entry("c", true), 40);
-    discovery.removed(ms(5_000), id::of("c"), 41);
-    discovery.written(ms(5_250), id::of("c"), entry("c", false), 42);
+    discovery.apply_entry(ms(5_250), id::of("c"), entry("c", true), 40);
+    discovery.apply_removal(ms(5_000), id::of("c"), 41);
+    discovery.apply_entry(ms(5_250), id::of("c"), entry("c", false), 42);
     assert!(!usable(&discovery).contains(&id::of("c")));
 }
 
@@ -180,8 +180,8 @@
 fn peer_tells_lapse() {
     let (mut away, mut other) = (three(), three());
     other.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
-    other.removed(ms(5_200), id::of("b"), 12);
-    away.replaced(ms(5_300), other.export(ms(5_300)), 12, Source::Peer);
+    other.apply_removal(ms(5_200), id::of("b"), 12);
+    away.apply_snapshot(ms(5_300), other.export(ms(5_300)), 12, SnapshotSource::Peer);
     assert!(usable(&away).contains(&id::of("b")));
     assert!(away.tick(ms(5_200) + RETURN_GRACE));
     assert!(!usable(&away).contains(&id::of("b")));
@@ -190,9 +190,9 @@
 #[test]
 fn unknown_until_read() {
     let mut discovery = Discovery::default();
-    assert!(!discovery.known());
-    discovery.replaced(ms(0), [], 3, Source::Store);
-    assert!(discovery.known());
+    assert!(!discovery.is_loaded());
+    discovery.apply_snapshot(ms(0), [], 3, SnapshotSource::Store);
+    assert!(discovery.is_loaded());
 }
 
 quickcheck! {
@@ -207,8 +207,8 @@
             let revision = u64::from(revision) * 1000 + at as u64 + 1;
             let now = ms(at as u64 * 10);
             match written {
-                true => drop(discovery.written(now, id, entry("x", false), revision)),
-                false => drop(discovery.removed(now, id, revision)),
+                true => drop(discovery.apply_entry(now, id, entry("x", false), revision)),
+                false => drop(discovery.apply_removal(now, id, revision)),
             }
             if newest.is_none_or(|(known, _)| revision > known) {
                 newest = Some((revision, written));
--- a/tests/endpoint_processes.rs
+++ b/tests/endpoint_processes.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bramleyseam::decide::discovery::{
-    Discovery, Known, Registration, Source, OUTAGE_MIN, RETURN_GRACE,
+    Discovery, KnownEntry, Registration, SnapshotSource, OUTAGE_MIN, RETURN_GRACE,
 };
 use bramleyseam::decide::endpoints::Endpoints;
 use bramleyseam::id::{self, Incarnation, Revision};
@@ -35,7 +35,7 @@
     draining: bool,
     at: Revision,
 ) -> bool {
-    discovery.written(ms(at), id::of(NAME), entry(incarnation, draining), at)
+    discovery.apply_entry(ms(at), id::of(NAME), entry(incarnation, draining), at)
 }
 
 fn used(discovery: &Discovery) -> Vec<u64> {
@@ -57,7 +57,7 @@
     write(&mut discovery, Some(START_MS + 1), true, 2);
     assert!(!write(&mut discovery, Some(START_MS), false, 3));
     assert!(used(&discovery).is_empty());
-    discovery.removed(ms(4), id::of(NAME), 4);
+    discovery.apply_removal(ms(4), id::of(NAME), 4);
     write(&mut discovery, Some(START_MS), false, 5);
     assert!(used(&discovery).is_empty());
 }
@@ -99,14 +99,14 @@
 #[test]
 fn stale_reading() {
     let mut discovery = Discovery::default();
-    discovery.replaced(ms(0), [], 9, Source::Peer);
-    let known = Known {
+    discovery.apply_snapshot(ms(0), [], 9, SnapshotSource::Peer);
+    let known = KnownEntry {
         id: id::of(NAME),
         entry: entry(Some(START_MS), false),
         revision: 5,
         lapsing: None,
     };
-    discovery.replaced(ms(1), [known], 7, Source::Store);
+    discovery.apply_snapshot(ms(1), [known], 7, SnapshotSource::Store);
     assert!(used(&discovery).is_empty());
 }
 
@@ -120,8 +120,8 @@
     }
     write(&mut ahead, Some(START_MS + 1), false, 2);
     ahead.store_failed(ms(1_000), ms(1_000) - OUTAGE_MIN, false);
-    ahead.removed(ms(1_100), id::of(NAME), 3);
-    behind.replaced(ms(1_200), ahead.export(ms(1_200)), 3, Source::Peer);
+    ahead.apply_removal(ms(1_100), id::of(NAME), 3);
+    behind.apply_snapshot(ms(1_200), ahead.export(ms(1_200)), 3, SnapshotSource::Peer);
     assert!(used(&behind).is_empty());
 }
 
@@ -131,7 +131,7 @@
     let mut endpoints = Endpoints::default();
     let declare = |endpoints: &mut Endpoints, start| {
         let entry = entry(Some(start), false);
-        endpoints.declare([(entry.endpoint(), entry.declared())]);
+        endpoints.configure([(entry.endpoint(), entry.declared())]);
     };
     declare(&mut endpoints, START_MS);
     endpoints.rows[0].online_here = 8;
@@ -195,9 +195,9 @@
 fn take(discovery: &mut Discovery, now: Duration, word: &Word, revision: Revision) {
     let id = id::of(NAME);
     match word {
-        Word::Entry(entry) => discovery.written(now, id, entry.clone(), revision),
-        Word::Gone => discovery.removed(now, id, revision),
-        Word::Spoilt => discovery.unusable(now, id, revision),
+        Word::Entry(entry) => discovery.apply_entry(now, id, entry.clone(), revision),
+        Word::Gone => discovery.apply_removal(now, id, revision),
+        Word::Spoilt => discovery.apply_unusable(now, id, revision),
     };
 }
 
@@ -205,18 +205,18 @@
     let at = words.len() as Revision;
     let mut listed = Vec::new();
     match words.last() {
-        Some(Word::Entry(entry)) => listed.push(Known {
+        Some(Word::Entry(entry)) => listed.push(KnownEntry {
             id: id::of(NAME),
             entry: entry.clone(),
             revision: at,
             lapsing: None,
         }),
         Some(Word::Spoilt) => {
-            discovery.unusable(now, id::of(NAME), at);
+            discovery.apply_unusable(now, id::of(NAME), at);
         }
         Some(Word::Gone) | None => {}
     }
-    discovery.replaced(now, listed, at, Source::Store);
+    discovery.apply_snapshot(now, listed, at, SnapshotSource::Store);
 }
 
 /// The next word of the store, if the step is one: a process drains before it goes or just goes, and starts
@@ -277,7 +277,7 @@
             }
             Step::Told if other.revision > vm.revision => {
                 let told = other.export(now);
-                vm.replaced(now, told, other.revision, Source::Peer);
+                vm.apply_snapshot(now, told, other.revision, SnapshotSource::Peer);
                 heard.clone_from(&drained);
             }
             Step::Deaf => deaf = true,
--- a/tests/endpoint_uses.rs
+++ b/tests/endpoint_uses.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bramleyseam::decide::usage::{Elsewhere, Usage, Use, USE_LIFE};
+use bramleyseam::decide::usage::{EndpointUse, RemoteUse, Usage, USE_LIFE};
 use quickcheck::quickcheck;
 
 const ENDPOINTS: u64 = 4;
@@ -11,15 +11,15 @@
 struct Word {
     at: Duration,
     vm: u64,
-    uses: Vec<(u64, Use)>,
+    uses: Vec<(u64, EndpointUse)>,
 }
 
 /// Pause before it, VM, and online and batch counts by endpoint.
 type Drawn = (u8, u8, Vec<(u16, u16)>);
 
 /// The last word of each VM, added up anew.
-fn added_up(said: &[Word], now: Duration, endpoint: u64) -> Elsewhere {
-    let mut sum = Elsewhere::default();
+fn added_up(said: &[Word], now: Duration, endpoint: u64) -> RemoteUse {
+    let mut sum = RemoteUse::default();
     for vm in 0..4 {
         let last = said.iter().rev().find(|word| word.vm == vm);
         let lives = last.filter(|word| now < word.at + USE_LIFE);
@@ -44,14 +44,14 @@
         for (pause, vm, counts) in words {
             now += Duration::from_millis(u64::from(pause) * 8);
             let uses = counts.iter().take(ENDPOINTS as usize).enumerate();
-            let uses: Vec<(u64, Use)> = uses
+            let uses: Vec<(u64, EndpointUse)> = uses
                 .map(|(at, (online, batch))| {
-                    let one = Use { online: *online, batch: *batch, urgent: batch / 2 };
+                    let one = EndpointUse { online: *online, batch: *batch, urgent: batch / 2 };
                     (at as u64, one)
                 })
                 .collect();
             usage.tick(now);
-            usage.said(now, u64::from(vm % 4), uses.clone());
+            usage.apply_report(now, u64::from(vm % 4), uses.clone());
             said.push(Word { at: now, vm: u64::from(vm % 4), uses });
             let holds = |at| usage.of(at) == added_up(&said, now, at);
             if !(0..ENDPOINTS).all(holds) {
--- a/tests/hostile_input.rs
+++ b/tests/hostile_input.rs
@@ -6,7 +6,7 @@
 
 use bramleyseam::bench::load::chat;
 use bramleyseam::clock;
-use bramleyseam::decide::batch::place::Crew;
+use bramleyseam::decide::batch::place::BatchPeers;
 use bramleyseam::standin::fleet::{call, Fleet, Plan};
 use bramleyseam::wire::{decode, read_frame, Datagram, Key, PeerAsk, PeerReply, ToBatch, ToEntry};
 use quickcheck::quickcheck;
@@ -161,7 +161,7 @@
     // A message that was changed in any place is not taken.
     fn changed_refused(at: usize, by: u8, batch: u64) -> bool {
         let key = Key::new("a secret for tests");
-        let message = ToBatch::Crew(Crew { own: batch, ..Crew::default() });
+        let message = ToBatch::Crew(BatchPeers { own: batch, ..BatchPeers::default() });
         let mut sealed = key.seal(&message).unwrap();
         let opened = key.open::<ToBatch>(&sealed).ok() == Some(message);
         let at = at % sealed.len();
--- a/tests/idle_slots.rs
+++ b/tests/idle_slots.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
-use bramleyseam::decide::idle::{Beside, Idle, Reason};
-use bramleyseam::decide::items::{ItemKey, Items, Planner};
-use bramleyseam::decide::turns::Rival;
+use bramleyseam::decide::idle::{Idle, IdleReason, IdleSnapshot};
+use bramleyseam::decide::items::{ItemKey, ItemPlanner, Items};
+use bramleyseam::decide::slot_grants::CompetingVm;
 use bramleyseam::decide::usage::Usage;
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
@@ -30,12 +30,12 @@
 #[test]
 fn others_turn() {
     let mut endpoints = Endpoints::default();
-    endpoints.declare(declared(2, SERVICE, 4.0, |_| 1));
+    endpoints.configure(declared(2, SERVICE, 4.0, |_| 1));
     let mut items = items(8);
-    let own = Planner {
+    let own = ItemPlanner {
         vm: 1,
         domain: 1,
-        rivals: &[Rival {
+        rivals: &[CompetingVm {
             vm: 2,
             domain: 1,
             items: 8,
@@ -46,17 +46,17 @@
     items.plan(ms(1100), &own, &endpoints, &Usage::default());
     let left = 8 - started.len() as u32;
     assert!(left > 0);
-    assert_eq!(items.idle.lost(Reason::Turn), ms(100) * left);
-    assert_eq!(items.idle.lost(Reason::Pause), ms(0));
+    assert_eq!(items.idle.lost(IdleReason::Turn), ms(100) * left);
+    assert_eq!(items.idle.lost(IdleReason::Pause), ms(0));
 }
 
 // After a run made way its item waits out a pause beside the slot that is free again.
 #[test]
 fn pause_counts() {
     let mut endpoints = Endpoints::default();
-    endpoints.declare(declared(1, SERVICE, 1.0, |_| 1));
+    endpoints.configure(declared(1, SERVICE, 1.0, |_| 1));
     let mut items = items(1);
-    let own = Planner {
+    let own = ItemPlanner {
         vm: 1,
         domain: 1,
         rivals: &[],
@@ -77,7 +77,7 @@
         .plan(ms(1050), &own, &endpoints, &Usage::default())
         .is_empty());
     items.plan(ms(1150), &own, &endpoints, &Usage::default());
-    assert_eq!(items.idle.lost(Reason::Pause), ms(100));
+    assert_eq!(items.idle.lost(IdleReason::Pause), ms(100));
 }
 
 quickcheck! {
@@ -85,9 +85,9 @@
     fn bounded(free_slots: u16, ready: u16, paused: u16, gap_ms: u16) -> bool {
         let (free_slots, ready, paused) = (u32::from(free_slots), u32::from(ready), u32::from(paused));
         let mut idle = Idle::default();
-        idle.note(ms(0), Beside { free_slots, ready, paused, starting: true });
-        idle.note(ms(u64::from(gap_ms)), Beside::default());
-        let lost = idle.lost(Reason::Turn) + idle.lost(Reason::Pause);
+        idle.note(ms(0), IdleSnapshot { free_slots, ready, paused, starting: true });
+        idle.note(ms(u64::from(gap_ms)), IdleSnapshot::default());
+        let lost = idle.lost(IdleReason::Turn) + idle.lost(IdleReason::Pause);
         lost <= ms(u64::from(gap_ms).min(200)) * free_slots.min(ready + paused)
     }
 }
--- a/tests/item_turns.rs
+++ b/tests/item_turns.rs
@@ -4,9 +4,11 @@
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
-use bramleyseam::decide::items::{Action, ItemKey, Items, Planner};
-use bramleyseam::decide::turns::{part, Place, Rival, Turns, ROUND};
-use bramleyseam::decide::usage::{Usage, Use};
+use bramleyseam::decide::items::{Action, ItemKey, ItemPlanner, Items};
+use bramleyseam::decide::slot_grants::{
+    slot_share, CompetingVm, EndpointPlace, SlotGrants, START_UNSEEN_TIME,
+};
+use bramleyseam::decide::usage::{EndpointUse, Usage};
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
 
@@ -49,16 +51,16 @@
 /// Plays items of all VMs until every one has run; returns starts, stops, and when the last ended.
 fn play(take_turns: bool) -> (usize, usize, Duration) {
     let mut endpoints = Endpoints::default();
-    endpoints.declare(declared(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| HOME));
+    endpoints.configure(declared(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| HOME));
     let mut vms = vms();
     let (mut starts, mut stops) = (0, 0);
-    let mut waiting: Vec<Rival> = Vec::new();
+    let mut waiting: Vec<CompetingVm> = Vec::new();
     for step in 0..4000 {
         let now = Duration::from_millis(step * PLAN_MS);
         if (step * PLAN_MS).is_multiple_of(TOLD_MS) {
             tell(&mut vms, &endpoints, now);
         }
-        let rival = |vm: &Vm| Rival {
+        let rival = |vm: &Vm| CompetingVm {
             vm: vm.id,
             domain: HOME,
             items: vm.items.waiting() as u32,
@@ -68,8 +70,8 @@
         }
         for vm in &mut vms {
             let others = waiting.iter().filter(|rival| rival.vm != vm.id);
-            let others: Vec<Rival> = others.copied().collect();
-            let own = Planner {
+            let others: Vec<CompetingVm> = others.copied().collect();
+            let own = ItemPlanner {
                 vm: vm.id,
                 domain: HOME,
                 rivals: if take_turns { &others } else { &[] },
@@ -108,13 +110,13 @@
 
 /// Every VM hears what all the others have at each endpoint.
 fn tell(vms: &mut [Vm], endpoints: &Endpoints, now: Duration) {
-    let said: Vec<(u64, Vec<(u64, Use)>)> = vms
+    let said: Vec<(u64, Vec<(u64, EndpointUse)>)> = vms
         .iter()
         .map(|vm| {
             let placed = vm.items.placed(now);
             let uses = endpoints.rows.iter().map(|row| {
                 let here = placed.get(&row.id).copied().unwrap_or_default();
-                let one = Use {
+                let one = EndpointUse {
                     online: 0,
                     batch: here.batch as u16,
                     urgent: here.urgent as u16,
@@ -126,7 +128,7 @@
         .collect();
     for vm in vms {
         for (other, uses) in said.iter().filter(|(other, _)| *other != vm.id) {
-            vm.usage.said(now, *other, uses.clone());
+            vm.usage.apply_report(now, *other, uses.clone());
         }
         vm.usage.tick(now);
     }
@@ -150,13 +152,13 @@
     // more items than there are, and each slot is somebody's.
     fn never_too_many(vms: Vec<(u64, u8)>, free: u32, endpoint: u64) -> bool {
         let rivals: BTreeMap<u64, u32> = vms.iter().map(|(vm, items)| (*vm, u32::from(*items))).collect();
-        let rivals = rivals.into_iter().map(|(vm, items)| Rival { vm, domain: vm % 2, items });
-        let rivals: Vec<Rival> = rivals.collect();
+        let rivals = rivals.into_iter().map(|(vm, items)| CompetingVm { vm, domain: vm % 2, items });
+        let rivals: Vec<CompetingVm> = rivals.collect();
         let free = free % 9;
-        let of = |own: &Rival| {
+        let of = |own: &CompetingVm| {
             let others = rivals.iter().filter(|other| other.vm != own.vm);
-            let others: Vec<Rival> = others.copied().collect();
-            part(Place { id: endpoint, domain: HOME }, free, *own, &others)
+            let others: Vec<CompetingVm> = others.copied().collect();
+            slot_share(EndpointPlace { id: endpoint, domain: HOME }, free, *own, &others)
         };
         let started: u32 = rivals.iter().map(of).sum();
         let items = |near: bool| {
@@ -171,14 +173,14 @@
 // nothing more until they have.
 #[test]
 fn part_of_a_round() {
-    let mut turns = Turns::default();
+    let mut turns = SlotGrants::default();
     let now = Duration::from_secs(5);
-    let rival = |vm, items| Rival {
+    let rival = |vm, items| CompetingVm {
         vm,
         domain: HOME,
         items,
     };
-    let endpoint = Place {
+    let endpoint = EndpointPlace {
         id: 1,
         domain: HOME,
     };
@@ -190,18 +192,18 @@
     }
     assert_eq!(taken, 4);
     assert!(turns.may_start(now, endpoint, 4, rival(3, 6), &[]));
-    assert!(turns.may_start(now + ROUND, endpoint, 4, rival(3, 6), &others));
+    assert!(turns.may_start(now + START_UNSEEN_TIME, endpoint, 4, rival(3, 6), &others));
 }
 
 // Slots of an engine go to the VMs of its failure domain first; what these have no items for goes to others.
 #[test]
 fn near_first() {
-    let rival = |vm, domain, items| Rival { vm, domain, items };
-    let endpoint = Place { id: 1, domain: 1 };
+    let rival = |vm, domain, items| CompetingVm { vm, domain, items };
+    let endpoint = EndpointPlace { id: 1, domain: 1 };
     let (near, far) = (rival(3, 1, 5), rival(4, 2, 50));
-    assert_eq!(part(endpoint, 8, near, &[far]), 5);
-    assert_eq!(part(endpoint, 8, far, &[near]), 3);
-    assert_eq!(part(endpoint, 4, far, &[near]), 0);
+    assert_eq!(slot_share(endpoint, 8, near, &[far]), 5);
+    assert_eq!(slot_share(endpoint, 8, far, &[near]), 3);
+    assert_eq!(slot_share(endpoint, 4, far, &[near]), 0);
 }
 
 // In a pause between bursts 80 items wait at one VM and one item at another, beside 144 free slots. The one
@@ -209,7 +211,7 @@
 #[test]
 fn uneven_queues() {
     let mut endpoints = Endpoints::default();
-    endpoints.declare(declared(18, SERVICE, 8.0, |_| HOME));
+    endpoints.configure(declared(18, SERVICE, 8.0, |_| HOME));
     let mut items = Items::default();
     for item in 0..80 {
         let key = ItemKey {
@@ -218,10 +220,10 @@
         };
         items.add(Duration::ZERO, key, SERVICE, RUN * 6);
     }
-    let own = Planner {
+    let own = ItemPlanner {
         vm: 1,
         domain: HOME,
-        rivals: &[Rival {
+        rivals: &[CompetingVm {
             vm: 2,
             domain: HOME,
             items: 1,
@@ -238,32 +240,32 @@
 fn whole_domains() {
     fn holds(free: u8, items: Vec<u8>) -> bool {
         let free = u32::from(free % 16);
-        let endpoint = Place {
+        let endpoint = EndpointPlace {
             id: 1,
             domain: HOME,
         };
-        let rival = |(at, items): (usize, &u8)| Rival {
+        let rival = |(at, items): (usize, &u8)| CompetingVm {
             vm: at as u64 + 100,
             domain: HOME + at as u64 % 4,
             items: u32::from(items % 12),
         };
-        let all: Vec<Rival> = items.iter().take(40).enumerate().map(rival).collect();
+        let all: Vec<CompetingVm> = items.iter().take(40).enumerate().map(rival).collect();
         let items_of = |domain: u64| {
             let of = all.iter().filter(|rival| rival.domain == domain);
             of.map(|rival| rival.items).sum::<u32>()
         };
-        let whole = |domain: u64| Rival {
+        let whole = |domain: u64| CompetingVm {
             vm: domain,
             domain,
             items: items_of(domain),
         };
-        let part_of = |own: &Rival| {
+        let part_of = |own: &CompetingVm| {
             let near = all
                 .iter()
                 .filter(|other| other.domain == own.domain && other.vm != own.vm);
             let far = (HOME..HOME + 4).filter(|domain| *domain != own.domain);
-            let others: Vec<Rival> = near.copied().chain(far.map(whole)).collect();
-            part(endpoint, free, *own, &others)
+            let others: Vec<CompetingVm> = near.copied().chain(far.map(whole)).collect();
+            slot_share(endpoint, free, *own, &others)
         };
         let taken: u32 = all.iter().map(part_of).sum();
         let near = items_of(HOME);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -5,12 +5,13 @@
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
+use bramleyseam::decide::freshness::{self, Freshness, StoreSubject, VersionsMatch};
 use bramleyseam::decide::peers::{
-    Counts, DomainUses, Heartbeat, Own, Peers, Row, Summary, Versions, VmRecord, ROUND,
+    DomainUsage, EndpointUseRow, Heartbeat, KnownVersions, LocalVm, Peers, QuotaCounts, Summary,
+    VmRecord, SUMMARY_INTERVAL,
 };
-use bramleyseam::decide::proofs::{self, Knows, Proofs, Subject};
 use bramleyseam::decide::quota::DomainCounts;
-use bramleyseam::decide::usage::{Elsewhere, Usage, Use};
+use bramleyseam::decide::usage::{EndpointUse, RemoteUse, Usage};
 use bramleyseam::id;
 use bramleyseam::wire::DATAGRAM_BYTES;
 use quickcheck::quickcheck;
@@ -47,7 +48,7 @@
     store: bool,
     /// Its calls on the store get no answer, though it does not know it.
     unanswered: bool,
-    proofs: Proofs,
+    proofs: Freshness,
     proof_calls: u64,
     received: u64,
     received_bytes: u64,
@@ -69,8 +70,8 @@
         id::of(&self.record.name)
     }
 
-    fn own(&self) -> Own {
-        Own {
+    fn own(&self) -> LocalVm {
+        LocalVm {
             vm: self.id(),
             domain: self.record.domain,
             core_share: self.record.core_share,
@@ -86,11 +87,11 @@
 
     fn beat(&mut self, now: Duration) -> Heartbeat {
         self.sequence += 1;
-        let uses = Use {
+        let uses = EndpointUse {
             online: 1,
-            ..Use::default()
+            ..EndpointUse::default()
         };
-        let row = |step: u64| Row {
+        let row = |step: u64| EndpointUseRow {
             endpoint: self.record.domain * 1_000_000 + (self.record.owner + step * 7) % ENDPOINTS,
             uses,
         };
@@ -103,12 +104,12 @@
             store: self.store,
             rules: self.rules,
             endpoints: 1,
-            proofs: self.proofs.own_ages(now),
+            proofs: self.proofs.own_confirmation_ages(now),
             jobs: 1,
             waiting: 0,
             backlog: Vec::new(),
             peer_port: 2,
-            counts: Counts::default(),
+            counts: QuotaCounts::default(),
             rows: (0..USED).map(row).collect(),
         }
     }
@@ -137,7 +138,7 @@
             dead: false,
             store: true,
             unanswered: false,
-            proofs: Proofs::default(),
+            proofs: Freshness::default(),
             proof_calls: 0,
             received: 0,
             received_bytes: 0,
@@ -169,7 +170,7 @@
     fn know(&mut self, records: &[VmRecord]) {
         for vm in &mut self.vms {
             let own = (vm.id(), vm.record.owner);
-            vm.peers.registered(self.now, own, records);
+            vm.peers.apply_registrations(self.now, own, records);
         }
     }
 
@@ -210,11 +211,13 @@
             vm.prove(now, own, self.newest_rules);
             // Not all at the same step.
             let phase = STEP * (at as u32 % 5);
-            let large = !self.vms[at].peers.is_meshed(self.vms[at].record.domain);
+            let large = !self.vms[at]
+                .peers
+                .is_domain_meshed(self.vms[at].record.domain);
             if is_due(now, if large { BEAT_LARGE } else { BEAT }, phase) {
                 self.send_beat(at, is_due(now, BEAT * 5, phase));
             }
-            if is_due(now, ROUND, phase) && self.vms[at].peers.is_delegate(own.vm) {
+            if is_due(now, SUMMARY_INTERVAL, phase) && self.vms[at].peers.is_delegate(own.vm) {
                 self.send_round(at);
             }
         }
@@ -223,9 +226,9 @@
     fn send_beat(&mut self, at: usize, far: bool) {
         let beat = self.vms[at].beat(self.now);
         let domain = self.vms[at].record.domain;
-        let mut targets = self.vms[at].peers.targets(domain, true);
+        let mut targets = self.vms[at].peers.heartbeat_targets(domain, true);
         if far {
-            targets.extend(self.vms[at].peers.targets(domain, false));
+            targets.extend(self.vms[at].peers.heartbeat_targets(domain, false));
         }
         for to in targets {
             self.send(at, to, Datagram::Heartbeat(beat.clone()));
@@ -238,9 +241,9 @@
         vm.rounds += 1;
         let (rounds, home) = (vm.rounds, vm.record.domain);
         let own = vm.beat(now);
-        let members = vm.peers.members(home);
+        let members = vm.peers.domain_peers(home);
         let address = vm.record.gossip_address;
-        let round = vm.peers.round(
+        let round = vm.peers.summary_round(
             now,
             &own,
             address,
@@ -248,9 +251,9 @@
             DomainCounts::default(),
             &Endpoints::default(),
         );
-        let far = vm.peers.far_delegates();
-        let is_far = vm.peers.is_far_round(rounds);
-        let near = vm.peers.is_near_round(rounds, home);
+        let far = vm.peers.remote_delegate_addresses();
+        let is_far = vm.peers.is_remote_round(rounds);
+        let near = vm.peers.is_domain_round(rounds, home);
         for (member, to) in members.into_iter().filter(|_| near) {
             for summary in round.for_member(member) {
                 self.send(at, to, Datagram::Summary(summary));
@@ -281,19 +284,20 @@
 }
 
 impl Vm {
-    fn knows(&self, rules: u64) -> Knows {
-        Knows {
+    fn knows(&self, rules: u64) -> VersionsMatch {
+        VersionsMatch {
             rules: self.rules >= rules,
             endpoints: true,
         }
     }
 
     /// Asks the store for rules and endpoints where it is this VM's turn.
-    fn prove(&mut self, now: Duration, own: Own, newest_rules: u64) {
-        let place = self.peers.place_to_prove(now, own);
-        for subject in [Subject::Rules, Subject::Endpoints] {
-            let patience = proofs::patience(subject, place, self.peers.is_large());
-            let due = patience.is_some_and(|p| self.proofs.due_in(now, subject, p).is_zero());
+    fn prove(&mut self, now: Duration, own: LocalVm, newest_rules: u64) {
+        let place = self.peers.refresh_rank(now, own);
+        for subject in [StoreSubject::Rules, StoreSubject::Endpoints] {
+            let patience = freshness::refresh_after(subject, place, self.peers.is_large());
+            let due =
+                patience.is_some_and(|p| self.proofs.refresh_due_in(now, subject, p).is_zero());
             if !due {
                 continue;
             }
@@ -304,7 +308,7 @@
                 continue;
             }
             self.rules = self.rules.max(newest_rules);
-            self.proofs.proved(subject, now);
+            self.proofs.confirm(subject, now);
         }
     }
 
@@ -312,7 +316,7 @@
     fn fetch_rules(&mut self, now: Duration) {
         if self
             .peers
-            .ahead(now, self.record.domain, knowing(self.rules), |_| true)
+            .newer_peers(now, self.record.domain, knowing(self.rules), |_| true)
             .rules
             .is_none()
         {
@@ -338,10 +342,11 @@
         self.received_bytes += bytes as u64;
         match datagram {
             Datagram::Heartbeat(beat) => {
-                if self.peers.heard(now, from, &beat) {
-                    self.proofs.told(now, beat.proofs, self.knows(beat.rules));
+                if self.peers.apply_heartbeat(now, from, &beat) {
+                    self.proofs
+                        .confirm_by_peer(now, beat.proofs, self.knows(beat.rules));
                     let rows = beat.rows.iter().map(|row| (row.endpoint, row.uses));
-                    self.usage.said(now, id::of(&beat.name), rows);
+                    self.usage.apply_report(now, id::of(&beat.name), rows);
                 }
                 Vec::new()
             }
@@ -350,29 +355,33 @@
     }
 
     fn take_summary(&mut self, now: Duration, summary: Summary) -> Vec<(SocketAddr, Summary)> {
-        if summary.by == self.id() || !self.peers.domains.take(now, &summary) {
+        if summary.by == self.id() || !self.peers.domains.apply_summary(now, &summary) {
             return Vec::new();
         }
         let knows = self.knows(summary.rules);
-        self.proofs.told(now, summary.proofs, knows);
+        self.proofs.confirm_by_peer(now, summary.proofs, knows);
         let near = summary.domain == self.record.domain;
-        if near && self.peers.hears_home(self.id(), self.record.domain) {
+        if near
+            && self
+                .peers
+                .receives_domain_heartbeats(self.id(), self.record.domain)
+        {
             return Vec::new();
         }
         let part = (summary.part, summary.parts);
         self.usage
-            .told_part(now, summary.domain, part, summary.rows.clone());
-        if near || !self.peers.passes_on(self.id(), &summary) {
+            .apply_group_part(now, summary.domain, part, summary.rows.clone());
+        if near || !self.peers.forwards_summary(self.id(), &summary) {
             return Vec::new();
         }
-        let members = self.peers.members(self.record.domain).into_iter();
+        let members = self.peers.domain_peers(self.record.domain).into_iter();
         members.map(|(_, to)| (to, summary.clone())).collect()
     }
 }
 
 /// A VM that lacks no endpoint.
-fn knowing(rules: u64) -> Versions {
-    Versions {
+fn knowing(rules: u64) -> KnownVersions {
+    KnownVersions {
         rules,
         endpoints: u64::MAX,
     }
@@ -498,7 +507,7 @@
                 .filter(|vm| !vm.dead && vm.record.domain == 1);
             let hears = |vm: &Vm| {
                 let own = vm.own();
-                vm.peers.is_delegate(own.vm) || vm.peers.is_told(fleet.now, own)
+                vm.peers.is_delegate(own.vm) || vm.peers.is_updated_by_delegate(fleet.now, own)
             };
             let living = fleet
                 .delegates(1)
@@ -526,7 +535,8 @@
     fleet.run(Duration::from_secs(3), |_| false);
     let at_the_store = |vm: &&Vm| {
         let own = vm.own();
-        vm.peers.watcher(fleet.now, own).is_none() || !vm.peers.is_told(fleet.now, own)
+        vm.peers.watching_vm(fleet.now, own).is_none()
+            || !vm.peers.is_updated_by_delegate(fleet.now, own)
     };
     assert_eq!(fleet.vms.iter().filter(at_the_store).count(), 10);
 }
@@ -543,7 +553,7 @@
     }
     for vm in &fleet.vms {
         let own = vm.own();
-        assert!(vm.peers.is_delegate(own.vm) || vm.peers.is_told(fleet.now, own));
+        assert!(vm.peers.is_delegate(own.vm) || vm.peers.is_updated_by_delegate(fleet.now, own));
     }
     let owners: Vec<u64> = fleet.vms.iter().map(|vm| vm.record.owner).collect();
     let known = |vm: &Vm| {
@@ -559,16 +569,16 @@
 // What a longer word said in its second part counts no longer once a shorter one came.
 #[test]
 fn shorter_words() {
-    let one = Elsewhere {
+    let one = RemoteUse {
         online: 1,
-        ..Elsewhere::default()
+        ..RemoteUse::default()
     };
     let now = Duration::from_secs(1);
     let mut usage = Usage::default();
-    usage.told_part(now, 10, (0, 2), [(1, one)]);
-    usage.told_part(now, 10, (1, 2), [(2, one)]);
+    usage.apply_group_part(now, 10, (0, 2), [(1, one)]);
+    usage.apply_group_part(now, 10, (1, 2), [(2, one)]);
     assert_eq!((usage.of(1).online, usage.of(2).online), (1, 1));
-    let touched = usage.told_part(now, 10, (0, 1), [(2, one)]);
+    let touched = usage.apply_group_part(now, 10, (0, 1), [(2, one)]);
     assert_eq!((usage.of(1).online, usage.of(2).online), (0, 1));
     assert!(touched.contains(&1) && touched.contains(&2));
 }
@@ -587,7 +597,7 @@
     for vm in &fleet.vms {
         let asked = vm
             .peers
-            .ahead(fleet.now, vm.record.domain, knowing(1), |_| true)
+            .newer_peers(fleet.now, vm.record.domain, knowing(1), |_| true)
             .rules
             .unwrap();
         let of = |other: &&Vm| other.record.gossip_address.ip() == asked.ip();
@@ -623,20 +633,20 @@
         let sum: u32 = batch.iter().sum();
         let mut endpoints = Endpoints::default();
         let declared = bramleyseam::standin::table::declared(1, 1, slots, |_| 1);
-        endpoints.declare(declared);
+        endpoints.configure(declared);
         let row = &mut endpoints.rows[0];
         (row.batch, row.online_elsewhere) = (sum, u32::from(online % 10));
         let id = row.id;
         let over = (row.online() + sum).saturating_sub(slots as u32);
         let excess = over.min(sum);
         let uses = batch.iter().enumerate().map(|(vm, count)| {
-            let one = Elsewhere {
+            let one = RemoteUse {
                 batch: *count,
-                ..Elsewhere::default()
+                ..RemoteUse::default()
             };
             (vm as u64 + 1, vec![(id, one)])
         });
-        let keeps = DomainUses::new(uses).keeps(&endpoints);
+        let keeps = DomainUsage::new(uses).keeps(&endpoints);
         let kept: u32 = keeps.values().flatten().map(|(_, kept)| kept).sum();
         match excess {
             0 => keeps.is_empty(),
@@ -699,7 +709,7 @@
 
 /// VMs that prove for the others, those in the first places first.
 fn provers(fleet: &Fleet) -> Vec<usize> {
-    let place = |vm: &Vm| vm.peers.place_to_prove(fleet.now, vm.own());
+    let place = |vm: &Vm| vm.peers.refresh_rank(fleet.now, vm.own());
     let mut places: Vec<(usize, usize)> = fleet
         .vms
         .iter()
@@ -720,7 +730,7 @@
             let ages = fleet
                 .vms
                 .iter()
-                .map(|vm| vm.proofs.age(fleet.now, Subject::Rules));
+                .map(|vm| vm.proofs.age(fleet.now, StoreSubject::Rules));
             ages.map(|age| age.unwrap_or(Duration::MAX)).max().unwrap()
         };
         let old = |fleet: &Fleet| oldest(fleet) >= Duration::from_millis(1800);
@@ -731,7 +741,7 @@
         fleet.run(Duration::from_secs(5), |_| false);
         let passed = fleet.now - silent_at;
         for vm in &fleet.vms {
-            let age = vm.proofs.age(fleet.now, Subject::Rules).unwrap();
+            let age = vm.proofs.age(fleet.now, StoreSubject::Rules).unwrap();
             assert!(age >= passed - STEP * 2, "{vms}: {age:?} after {passed:?}");
         }
     }
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
-use bramleyseam::decide::routing::{choose, Ask, Policy};
+use bramleyseam::decide::routing::{choose, Policy, RouteQuery};
 use bramleyseam::standin::table::declared;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -69,8 +69,8 @@
     let mut engines = vec![Engine::default(); ENDPOINTS];
     let table = || {
         let mut table = Endpoints::default();
-        table.late_news = late_news;
-        table.declare(declared(ENDPOINTS, SERVICE, SLOTS as f64, |_| HOME));
+        table.counts_lag = late_news;
+        table.configure(declared(ENDPOINTS, SERVICE, SLOTS as f64, |_| HOME));
         table
     };
     let mut tables: Vec<Endpoints> = (0..VMS).map(|_| table()).collect();
@@ -83,7 +83,7 @@
                 if now.is_multiple_of(NEWS_MS) {
                     let heard = now.saturating_sub(BEAT_MS);
                     row.online_elsewhere = engine.online(heard, |of| of != vm);
-                    row.users_elsewhere = row.online_elsewhere;
+                    row.remote_vms = row.online_elsewhere;
                 }
             }
         }
@@ -91,7 +91,7 @@
             continue;
         }
         let vm = rng.random_range(0..VMS);
-        let ask = Ask {
+        let ask = RouteQuery {
             service: SERVICE,
             prefix: 0,
             avoid: None,
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bramleyseam::decide::endpoints::{Endpoints, Report};
+use bramleyseam::decide::endpoints::{EndpointReport, Endpoints};
 use bramleyseam::decide::fleet::{Action, Fleet, Heartbeat};
-use bramleyseam::decide::members::{Card, Heard, Members};
+use bramleyseam::decide::members::{HeartbeatOutcome, Members, VmStatus};
 use bramleyseam::id;
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
@@ -34,7 +34,7 @@
     cuts: Vec<(usize, usize)>,
     removals: u32,
     /// What the endpoint says.
-    report: Report,
+    report: EndpointReport,
     bytes: u64,
 }
 
@@ -42,9 +42,9 @@
     SocketAddr::from(([127, 0, 0, 1], 1000 + at as u16))
 }
 
-fn card(at: usize, domains: usize, incarnation: u64) -> Card {
+fn card(at: usize, domains: usize, incarnation: u64) -> VmStatus {
     let name = format!("vm-{at}");
-    Card {
+    VmStatus {
         vm: id::of(&name),
         name: name.into(),
         domain: (at % domains) as u64,
@@ -60,16 +60,16 @@
 
 fn endpoints(count: usize, domains: usize) -> Endpoints {
     let mut table = Endpoints::default();
-    table.declare(declared(count, 1, 8.0, move |at| (at % domains) as u64));
+    table.configure(declared(count, 1, 8.0, move |at| (at % domains) as u64));
     table
 }
 
 impl World {
     fn new(seed: u64, vms: usize, domains: usize, count: usize, loss: f64) -> World {
-        let cards: Vec<Card> = (0..vms).map(|at| card(at, domains, 1)).collect();
+        let cards: Vec<VmStatus> = (0..vms).map(|at| card(at, domains, 1)).collect();
         let fresh = |at: usize| {
             let mut fleet = Fleet::new(cards[at].clone());
-            fleet.members.listed(&cards[at], cards.clone());
+            fleet.members.apply_vm_list(&cards[at], cards.clone());
             Vm {
                 fleet,
                 endpoints: endpoints(count, domains),
@@ -86,9 +86,9 @@
             wires: Vec::new(),
             cuts: Vec::new(),
             removals: 0,
-            report: Report {
+            report: EndpointReport {
                 incarnation: 1,
-                ..Report::default()
+                ..EndpointReport::default()
             },
             bytes: 0,
         }
@@ -99,7 +99,7 @@
         if version > vm.fleet.card.config {
             vm.fleet.card.config = version;
             vm.versions.push(version);
-            vm.fleet.tell_now();
+            vm.fleet.send_now();
         }
     }
 
@@ -116,7 +116,7 @@
                 let mut out = Vec::new();
                 let vm = &mut self.vms[to];
                 vm.fleet
-                    .heard(self.now, heartbeat, &mut vm.endpoints, &mut out);
+                    .apply_heartbeat(self.now, heartbeat, &mut vm.endpoints, &mut out);
                 self.perform(to, out);
             }
         }
@@ -159,7 +159,7 @@
                     let report = self.report.clone();
                     let vm = &mut self.vms[from];
                     vm.fleet
-                        .polled(self.now, endpoint, report, &mut vm.endpoints);
+                        .apply_endpoint_report(self.now, endpoint, report, &mut vm.endpoints);
                 }
                 Action::FetchJobs { .. } | Action::Stop => {}
             }
@@ -272,20 +272,29 @@
     let mut members = Members::default();
     let second = Duration::from_secs(1);
     assert_eq!(
-        members.heard(second, &own, card(1, 1, 5), 100),
-        Heard::Taken
+        members.apply_heartbeat(second, &own, card(1, 1, 5), 100),
+        HeartbeatOutcome::Taken
     );
-    assert_eq!(members.heard(second, &own, card(1, 1, 6), 1), Heard::Taken);
     assert_eq!(
-        members.heard(second, &own, card(1, 1, 5), 101),
-        Heard::Stale
+        members.apply_heartbeat(second, &own, card(1, 1, 6), 1),
+        HeartbeatOutcome::Taken
     );
-    assert_eq!(members.heard(second, &own, card(1, 1, 6), 1), Heard::Stale);
     assert_eq!(
-        members.heard(second, &own, card(0, 1, 2), 1),
-        Heard::Superseded
+        members.apply_heartbeat(second, &own, card(1, 1, 5), 101),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        members.apply_heartbeat(second, &own, card(1, 1, 6), 1),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        members.apply_heartbeat(second, &own, card(0, 1, 2), 1),
+        HeartbeatOutcome::Superseded
+    );
+    assert_eq!(
+        members.apply_heartbeat(second, &own, card(0, 1, 0), 1),
+        HeartbeatOutcome::Stale
     );
-    assert_eq!(members.heard(second, &own, card(0, 1, 0), 1), Heard::Stale);
 }
 
 quickcheck! {
@@ -333,7 +342,7 @@
         world.run_for(Duration::from_secs(5));
         let homes = |vm: &Vm| -> Vec<_> {
             let rows = vm.endpoints.rows.iter();
-            rows.map(|row| vm.fleet.home(row.id)).collect()
+            rows.map(|row| vm.fleet.assigned_vm(row.id)).collect()
         };
         let first = homes(&world.vms[0]);
         world.vms.iter().all(|vm| homes(vm) == first)
--- a/tests/online_rules.rs
+++ b/tests/online_rules.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-use bramleyseam::decide::endpoints::{Endpoint, Report};
-use bramleyseam::decide::online::{Action, Arrival, Event, Online, Outcome, Service};
-use bramleyseam::decide::refusal::Kind;
-use bramleyseam::decide::retry::{Reach, TRIES_MAX};
-use bramleyseam::decide::routing::{choose, Ask, Policy};
+use bramleyseam::decide::endpoints::{Endpoint, EndpointReport};
+use bramleyseam::decide::online::{Action, Arrival, AttemptOutcome, Event, Online, ServiceConfig};
+use bramleyseam::decide::refusal::RefusalKind;
+use bramleyseam::decide::retry::{AttemptStage, TRIES_MAX};
+use bramleyseam::decide::routing::{choose, Policy, RouteQuery};
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
@@ -25,8 +25,8 @@
     let mut online = Online::new(HOME, SmallRng::seed_from_u64(seed));
     online
         .endpoints
-        .declare(declared(endpoints, SERVICE, slots, |_| HOME));
-    let service = Service {
+        .configure(declared(endpoints, SERVICE, slots, |_| HOME));
+    let service = ServiceConfig {
         first_token_goal: ms(500),
         queue_limit: 40,
         max_in_flight: 1000,
@@ -52,7 +52,7 @@
 }
 
 /// Reason, whether it says "not run", and when to come back.
-type Refused = (Kind, bool, Option<Duration>);
+type Refused = (RefusalKind, bool, Option<Duration>);
 
 /// What happened to one request.
 #[derive(Debug, Default, Clone)]
@@ -70,7 +70,7 @@
     online: Online,
     stories: BTreeMap<u64, Story>,
     /// Ends of tries on their way.
-    due: Vec<(Duration, u64, Outcome)>,
+    due: Vec<(Duration, u64, AttemptOutcome)>,
     hold: Duration,
     /// Endpoints that fail every request.
     broken: Vec<u64>,
@@ -123,23 +123,23 @@
                     let outcome =
                         if self.broken.contains(&endpoint) || self.rng.random_bool(self.flaky) {
                             let reach = match self.rng.random_range(0..3) {
-                                0 => Reach::NotSent,
-                                1 => Reach::Refused,
-                                _ => Reach::MaybeSent,
+                                0 => AttemptStage::NotSent,
+                                1 => AttemptStage::Refused,
+                                _ => AttemptStage::MaybeSent,
                             };
-                            Outcome::Failed {
+                            AttemptOutcome::Failed {
                                 reach,
                                 blame: true,
                                 ended: false,
                             }
                         } else {
-                            Outcome::Done
+                            AttemptOutcome::Done
                         };
                     let story = self.stories.get_mut(&request).unwrap();
                     assert!(story.end.is_none(), "sent after its end");
                     story.attempts += 1;
-                    if let Outcome::Failed { reach, .. } = outcome {
-                        story.maybe_run += u32::from(reach == Reach::MaybeSent);
+                    if let AttemptOutcome::Failed { reach, .. } = outcome {
+                        story.maybe_run += u32::from(reach == AttemptStage::MaybeSent);
                     } else {
                         story.maybe_run += 1;
                     }
@@ -166,9 +166,9 @@
         let now = self.now;
         let (due, later) = self.due.drain(..).partition(|(at, ..)| *at <= now);
         self.due = later;
-        let due: Vec<(Duration, u64, Outcome)> = due;
+        let due: Vec<(Duration, u64, AttemptOutcome)> = due;
         for (_, request, outcome) in due {
-            if outcome == Outcome::Done {
+            if outcome == AttemptOutcome::Done {
                 self.event(Event::FirstToken { request });
                 self.stories.get_mut(&request).unwrap().end = Some((now, Ok(())));
             }
@@ -206,7 +206,7 @@
             world.step();
         }
         world.settle();
-        world.online.in_hand() == 0 && world.stories.values().all(|story| {
+        world.online.open_requests() == 0 && world.stories.values().all(|story| {
             let true_end = match &story.end {
                 None => false,
                 Some((_, Ok(()))) => true,
@@ -276,8 +276,8 @@
 }
 
 /// The end of a try at an endpoint whose process is gone.
-fn gone(reach: Reach) -> Outcome {
-    Outcome::Failed {
+fn gone(reach: AttemptStage) -> AttemptOutcome {
+    AttemptOutcome::Failed {
         reach,
         blame: true,
         ended: true,
@@ -285,7 +285,7 @@
 }
 
 /// Tells how a try ended, and hands back what follows.
-fn ended(online: &mut Online, request: u64, outcome: Outcome) -> Vec<Action> {
+fn ended(online: &mut Online, request: u64, outcome: AttemptOutcome) -> Vec<Action> {
     let mut out = Vec::new();
     online.handle(ms(10), Event::Ended { request, outcome }, &mut out);
     out
@@ -305,12 +305,12 @@
     for _ in 0..4 {
         let sent = out.pop();
         assert!(matches!(sent, Some(Action::Send { .. })), "{sent:?}");
-        out = ended(&mut online, 1, gone(Reach::NotSent));
+        out = ended(&mut online, 1, gone(AttemptStage::NotSent));
     }
     // A run counts: the second one that fails is the last.
-    out = ended(&mut online, 1, gone(Reach::MaybeSent));
+    out = ended(&mut online, 1, gone(AttemptStage::MaybeSent));
     assert!(matches!(out.pop(), Some(Action::Send { .. })));
-    out = ended(&mut online, 1, gone(Reach::MaybeSent));
+    out = ended(&mut online, 1, gone(AttemptStage::MaybeSent));
     assert!(matches!(out.pop(), Some(Action::Refuse { .. })));
 }
 
@@ -326,7 +326,7 @@
     }
     out.clear();
     for request in 1..=8 {
-        out = ended(&mut online, request, gone(Reach::MaybeSent));
+        out = ended(&mut online, request, gone(AttemptStage::MaybeSent));
         assert!(matches!(out.pop(), Some(Action::Send { .. })), "{request}");
     }
 }
@@ -438,19 +438,19 @@
 fn old_report() {
     let mut online = online(1, 1, 8.0);
     let row = &mut online.endpoints.rows[0];
-    row.reported(
+    row.apply_report(
         ms(1),
-        Report {
+        EndpointReport {
             incarnation: 2,
-            ..Report::default()
+            ..EndpointReport::default()
         },
     );
-    row.reported(
+    row.apply_report(
         ms(2),
-        Report {
+        EndpointReport {
             incarnation: 1,
             leaving: true,
-            ..Report::default()
+            ..EndpointReport::default()
         },
     );
     assert!(row.usable(ms(3)));
@@ -471,7 +471,7 @@
         let table = &online.endpoints;
         let now = ms(1);
         [Policy::Affinity, Policy::TwoChoices, Policy::LeastLoad].into_iter().all(|policy| {
-            let ask = Ask { service: SERVICE, prefix: 77, avoid: None };
+            let ask = RouteQuery { service: SERVICE, prefix: 77, avoid: None };
             // 0 where it starts at once, 1 where it waits, 2 where it can't go.
             let class = |r: &Endpoint| match (r.has_room(now), r.has_slot(now)) {
                 (false, _) => 2,
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -5,7 +5,7 @@
 
 use bramleyseam::clock;
 use bramleyseam::decide::commit::Answer;
-use bramleyseam::decide::orders::{Action, FenceRecord, Orders, Wanted, LEASE};
+use bramleyseam::decide::orders::{Action, EndpointModels, FenceRecord, Orders, LEASE};
 use bramleyseam::id::Name;
 use bramleyseam::standin::fleet::{Fleet, Plan};
 use quickcheck::quickcheck;
@@ -166,10 +166,10 @@
                     Reply::Written(answer) => holder.orders.fence_written(now, answer, &mut out),
                 }
             }
-            let wanted: Vec<Wanted> = self
+            let wanted: Vec<EndpointModels> = self
                 .endpoints
                 .iter()
-                .map(|(endpoint, (models, _))| Wanted {
+                .map(|(endpoint, (models, _))| EndpointModels {
                     endpoint: *endpoint,
                     models: self.wanted.clone(),
                     reported: Some(models.clone()),
