--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -3,13 +3,14 @@
 use std::time::Duration;
 
 use bramleyseam::decide::quarantine::{
-    Asked, Fingerprint, LostRun, Quarantine, Told, Verdict, Word, ENDS_MIN, HELD_FOR,
+    EvidenceSource, Fingerprint, LostRun, Quarantine, QuarantineReport, QuarantineVerdict,
+    RequestIdentity, ENDS_MIN, HOLD_TIME,
 };
 use bramleyseam::id::EndpointId;
 use quickcheck::{quickcheck, TestResult};
 
 fn ms(count: u64) -> Duration {
-    HELD_FOR + Duration::from_millis(count)
+    HOLD_TIME + Duration::from_millis(count)
 }
 
 fn asked(body: &str) -> Fingerprint {
@@ -17,7 +18,7 @@
 }
 
 fn by(caller: &str, body: &str) -> Fingerprint {
-    Fingerprint::of(&Asked {
+    Fingerprint::of(&RequestIdentity {
         caller: caller.as_bytes(),
         method: "POST",
         host: b"desk.example",
@@ -40,9 +41,9 @@
 /// An endpoint ends under these requests.
 fn end(quarantine: &mut Quarantine, at: Duration, endpoint: EndpointId, bodies: &[&str]) {
     for body in bodies {
-        quarantine.lost(at, run(at, body, endpoint));
+        quarantine.run_lost(at, run(at, body, endpoint));
     }
-    quarantine.ended(at, endpoint);
+    quarantine.endpoint_ended(at, endpoint);
 }
 
 fn held(quarantine: &mut Quarantine, at: Duration, body: &str) -> bool {
@@ -51,8 +52,8 @@
 
 /// What one VM tells another one of a bad request.
 fn tell(from: &Quarantine, to: &mut Quarantine, now: Duration) {
-    if let Some(told) = from.tell(now, asked("bad"), true) {
-        to.told(now, &told, Word::Peer);
+    if let Some(told) = from.report(now, asked("bad"), true) {
+        to.apply_report(now, &told, EvidenceSource::Peer);
     }
 }
 
@@ -86,7 +87,9 @@
         assert!(!held(&mut quarantine, ms(2500), innocent), "{innocent}");
     }
     let changes = quarantine.take_changes();
-    let held = changes.iter().filter(|c| c.verdict == Verdict::Held);
+    let held = changes
+        .iter()
+        .filter(|c| c.verdict == QuarantineVerdict::Held);
     let held: Vec<Fingerprint> = held.map(|change| change.fingerprint).collect();
     assert_eq!(held, [asked("bad")]);
 }
@@ -109,7 +112,7 @@
     for endpoint in 0..20 {
         let at = ms(endpoint * 600);
         end(&mut quarantine, at, endpoint, &["common", "bad"]);
-        quarantine.answered(at + Duration::from_millis(50), asked("common"), true);
+        quarantine.request_answered(at + Duration::from_millis(50), asked("common"), true);
         assert!(!held(&mut quarantine, at, "common"));
     }
     assert!(held(&mut quarantine, ms(12_000), "bad"));
@@ -130,14 +133,14 @@
 fn only_resets() {
     let mut quarantine = Quarantine::default();
     for endpoint in 0..9 {
-        quarantine.lost(ms(endpoint * 500), run(ms(endpoint * 500), "a", endpoint));
+        quarantine.run_lost(ms(endpoint * 500), run(ms(endpoint * 500), "a", endpoint));
     }
     quarantine.tick(ms(5000));
     assert!(!held(&mut quarantine, ms(5000), "a"));
     assert!(quarantine.is_empty());
     // What comes too late to have anything to do with it.
     quarantine.tick(ms(20_000));
-    quarantine.ended(ms(20_000), 3);
+    quarantine.endpoint_ended(ms(20_000), 3);
     assert!(quarantine.is_empty());
 }
 
@@ -146,15 +149,15 @@
 fn known_later() {
     let mut quarantine = Quarantine::default();
     for endpoint in 0..3 {
-        quarantine.lost(ms(endpoint * 400), run(ms(endpoint * 400), "bad", endpoint));
+        quarantine.run_lost(ms(endpoint * 400), run(ms(endpoint * 400), "bad", endpoint));
     }
     for endpoint in 0..3 {
-        quarantine.ended(ms(2500 + endpoint), endpoint);
+        quarantine.endpoint_ended(ms(2500 + endpoint), endpoint);
     }
     quarantine.tick(ms(2850));
     assert!(held(&mut quarantine, ms(2850), "bad"));
     // Of one that has ended by then nothing more needs to be known.
-    quarantine.lost(ms(2700), run(ms(2700), "other", 2));
+    quarantine.run_lost(ms(2700), run(ms(2700), "other", 2));
     assert!(!quarantine.is_empty());
 }
 
@@ -190,8 +193,8 @@
     };
     for endpoint in 0..6 {
         let at = ms(endpoint * 4000);
-        quarantine.lost(at, long(at, endpoint));
-        quarantine.ended(at, endpoint);
+        quarantine.run_lost(at, long(at, endpoint));
+        quarantine.endpoint_ended(at, endpoint);
     }
     assert!(quarantine.is_empty());
 }
@@ -216,7 +219,7 @@
     tell(&first[0], &mut fresh, ms(1600));
     assert!(held(&mut fresh, ms(1600), "bad"));
     // An answer at any VM clears it everywhere, also where others still say that it is held back.
-    fresh.answered(ms(2000), asked("bad"), true);
+    fresh.request_answered(ms(2000), asked("bad"), true);
     tell(&fresh, &mut first[0], ms(2100));
     assert!(!held(&mut first[0], ms(2100), "bad"));
     tell(&others[0], &mut first[0], ms(2200));
@@ -227,7 +230,7 @@
 #[test]
 fn answered_before() {
     let mut quarantine = Quarantine::default();
-    quarantine.answered(ms(0), asked("common"), true);
+    quarantine.request_answered(ms(0), asked("common"), true);
     for endpoint in 0..9 {
         end(
             &mut quarantine,
@@ -260,8 +263,8 @@
     assert!(quarantine.admit(ms(155_000), bad, true).is_ok());
     end(&mut quarantine, ms(155_100), 51, &["bad"]);
     assert!(quarantine.admit(ms(400_000), bad, true).is_err());
-    quarantine.tick(ms(155_100) + HELD_FOR);
-    assert!(quarantine.admit(ms(155_100) + HELD_FOR, bad, true).is_ok());
+    quarantine.tick(ms(155_100) + HOLD_TIME);
+    assert!(quarantine.admit(ms(155_100) + HOLD_TIME, bad, true).is_ok());
     assert!(quarantine.is_empty());
 }
 
@@ -271,10 +274,10 @@
     let mut quarantine = holding();
     let mut other = Quarantine::default();
     tell(&quarantine, &mut other, ms(4000));
-    assert_eq!(quarantine.listed(ms(5000))[0].held_for_ms, Some(1000));
+    assert_eq!(quarantine.list(ms(5000))[0].held_for_ms, Some(1000));
     assert!(quarantine.release(ms(5000), asked("bad")));
     assert!(!quarantine.release(ms(5000), asked("bad")));
-    assert!(quarantine.listed(ms(5000)).is_empty());
+    assert!(quarantine.list(ms(5000)).is_empty());
     tell(&quarantine, &mut other, ms(5100));
     assert!(!held(&mut other, ms(5100), "bad"));
 }
@@ -284,9 +287,9 @@
 fn forgotten_everywhere() {
     let mut one = holding();
     let mut two = Quarantine::default();
-    let last = ms(4000) + HELD_FOR;
+    let last = ms(4000) + HOLD_TIME;
     for step in 1..20 {
-        let now = ms(4000) + HELD_FOR.mul_f64(f64::from(step) / 10.0);
+        let now = ms(4000) + HOLD_TIME.mul_f64(f64::from(step) / 10.0);
         one.tick(now);
         two.tick(now);
         tell(&one, &mut two, now);
@@ -304,20 +307,20 @@
     for endpoint in 0..2 {
         let mut vm = Quarantine::default();
         end(&mut vm, ms(endpoint * 1000), endpoint, &["bad"]);
-        assert_eq!(vm.take_untold(), [asked("bad")]);
-        assert!(!vm.concerns_all(asked("bad")));
-        assert!(!home.concerns_all(asked("bad")));
+        assert_eq!(vm.take_unreported(), [asked("bad")]);
+        assert!(!vm.is_fleet_wide(asked("bad")));
+        assert!(!home.is_fleet_wide(asked("bad")));
         tell(&vm, &mut home, ms(1500));
     }
-    assert!(home.concerns_all(asked("bad")));
+    assert!(home.is_fleet_wide(asked("bad")));
     let mut other = Quarantine::default();
     tell(&home, &mut other, ms(1600));
-    assert!(other.concerns_all(asked("bad")));
-    assert_eq!(other.take_untold(), []);
-    other.answered(ms(2500), asked("bad"), true);
-    assert_eq!(other.take_untold(), [asked("bad")]);
+    assert!(other.is_fleet_wide(asked("bad")));
+    assert_eq!(other.take_unreported(), []);
+    other.request_answered(ms(2500), asked("bad"), true);
+    assert_eq!(other.take_unreported(), [asked("bad")]);
     // It goes on being told to all, so that what spoke for it is known wherever the ends are.
-    assert!(other.concerns_all(asked("bad")));
+    assert!(other.is_fleet_wide(asked("bad")));
 }
 
 // Three endpoints end within half a second, the common question at each: it is held back only when all VMs had time to speak for it.
@@ -333,7 +336,7 @@
         end(&mut quarantine, ms(endpoint * 210), endpoint, &["common"]);
     }
     assert!(!held(&mut quarantine, ms(430), "common"));
-    quarantine.answered(ms(500), asked("common"), true);
+    quarantine.request_answered(ms(500), asked("common"), true);
     quarantine.tick(ms(520));
     assert!(!held(&mut quarantine, ms(520), "common"));
 }
@@ -347,7 +350,7 @@
         let bodies: Vec<&str> = bodies.iter().map(String::as_str).collect();
         end(&mut quarantine, ms(4000 + endpoint), endpoint, &bodies);
     }
-    assert!(quarantine.listed(ms(6000)).len() <= 256);
+    assert!(quarantine.list(ms(6000)).len() <= 256);
     assert!(held(&mut quarantine, ms(6000), "bad"));
 }
 
@@ -369,7 +372,7 @@
         return TestResult::discard();
     }
     let now = ms(60_000);
-    let told: Vec<Told> = ends
+    let told: Vec<QuarantineReport> = ends
         .iter()
         .take(8)
         .map(|(endpoint, at)| {
@@ -377,27 +380,27 @@
             let at = ms(u64::from(*at) * 100);
             end(&mut seen, at, u64::from(*endpoint), &["bad"]);
             if endpoint % 5 == 0 {
-                seen.answered(at, asked("bad"), true);
+                seen.request_answered(at, asked("bad"), true);
             }
-            seen.tell(now, asked("bad"), true).unwrap()
+            seen.report(now, asked("bad"), true).unwrap()
         })
         .collect();
     let mut in_order = Quarantine::default();
     let mut mixed = Quarantine::default();
     for one in &told {
-        in_order.told(now, one, Word::Peer);
+        in_order.apply_report(now, one, EvidenceSource::Peer);
     }
     for at in &order {
         if let Some(one) = told.get(at % told.len().max(1)) {
-            mixed.told(now, one, Word::Peer);
+            mixed.apply_report(now, one, EvidenceSource::Peer);
         }
     }
     for one in told.iter().rev() {
-        mixed.told(now, one, Word::Peer);
+        mixed.apply_report(now, one, EvidenceSource::Peer);
     }
     in_order.tick(ms(61_000));
     mixed.tick(ms(61_000));
-    let holds = |quarantine: &Quarantine| quarantine.holds(asked("bad"));
+    let holds = |quarantine: &Quarantine| quarantine.is_held(asked("bad"));
     // The end of one endpoint at two times is kept as it was first told.
     let mut named: Vec<u8> = ends.iter().take(8).map(|(endpoint, _)| *endpoint).collect();
     named.sort_unstable();
--- a/tests/quarantine_play.rs
+++ b/tests/quarantine_play.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use bramleyseam::decide::quarantine::{
-    told, Asked, Fingerprint, LostRun, Quarantine, Told, Word, HELD_FOR, TOLD_MAX,
+    report, EvidenceSource, Fingerprint, LostRun, Quarantine, QuarantineReport, RequestIdentity,
+    HOLD_TIME, REPORTS_PER_DATAGRAM_MAX,
 };
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -81,7 +82,7 @@
     vms: Vec<Quarantine>,
     endpoints: Vec<Endpoint>,
     next: u64,
-    under_way: Vec<(Duration, usize, Vec<Told>)>,
+    under_way: Vec<(Duration, usize, Vec<QuarantineReport>)>,
     again: Vec<(Duration, usize, Vec<Fingerprint>)>,
     /// Entries that lapse, and when all VMs hear of it.
     lapses: Vec<(Duration, u64)>,
@@ -104,7 +105,7 @@
         };
         Play {
             load,
-            now: HELD_FOR,
+            now: HOLD_TIME,
             rng: SmallRng::seed_from_u64(seed),
             vms: (0..vms).map(|_| Quarantine::default()).collect(),
             endpoints: (0..endpoints).map(endpoint).collect(),
@@ -122,7 +123,7 @@
     }
 
     fn run(mut self) -> Play {
-        while self.now < HELD_FOR + LENGTH {
+        while self.now < HOLD_TIME + LENGTH {
             self.now += STEP;
             self.deliver();
             self.come_back();
@@ -141,7 +142,7 @@
 
     fn ask(&mut self) {
         let ms = self.now.as_millis() as u64;
-        let calm = self.now < HELD_FOR + CALM;
+        let calm = self.now < HOLD_TIME + CALM;
         if !calm && ms.is_multiple_of(self.load.bad_pause_ms.max(10)) {
             for bad in 0..self.load.bad {
                 let vm = self.rng.random_range(0..self.vms.len());
@@ -206,8 +207,8 @@
             for run in done {
                 let speaks = self
                     .rng
-                    .random_bool(told::speaking_share(self.vms.len() as u32));
-                self.vms[run.vm].answered(now, fingerprint(run.body), speaks);
+                    .random_bool(report::answer_report_share(self.vms.len() as u32));
+                self.vms[run.vm].request_answered(now, fingerprint(run.body), speaks);
             }
         }
     }
@@ -223,7 +224,7 @@
                 self.bad_ends.entry(bad).or_default().push(now);
             }
             self.lost(run, id);
-            self.vms[run.vm].ended(now, id);
+            self.vms[run.vm].endpoint_ended(now, id);
         }
         for run in runs {
             if run.tries + 1 < TRIES {
@@ -241,7 +242,7 @@
             ran: self.now - run.began,
             progressed: true,
         };
-        self.vms[run.vm].lost(self.now, lost);
+        self.vms[run.vm].run_lost(self.now, lost);
     }
 
     fn come_back(&mut self) {
@@ -255,7 +256,7 @@
     }
 
     fn disturb(&mut self) {
-        let calm = self.now < HELD_FOR + CALM;
+        let calm = self.now < HOLD_TIME + CALM;
         let ends = if calm { 0.0 } else { self.load.ends };
         let chance = ends * STEP.as_secs_f64();
         for place in 0..self.endpoints.len() {
@@ -291,7 +292,9 @@
         let due = |(at, _): &mut (Duration, u64)| *at <= self.now;
         let lapsed: Vec<_> = self.lapses.extract_if(.., due).collect();
         for vm in &mut self.vms {
-            lapsed.iter().for_each(|(_, id)| vm.ended(self.now, *id));
+            lapsed
+                .iter()
+                .for_each(|(_, id)| vm.endpoint_ended(self.now, *id));
             vm.tick(self.now);
         }
     }
@@ -324,7 +327,7 @@
 
     fn speak(&mut self) {
         for vm in 0..self.vms.len() {
-            let untold = self.vms[vm].take_untold();
+            let untold = self.vms[vm].take_unreported();
             if !untold.is_empty() {
                 self.tell(vm, &untold);
                 self.again.push((self.now + TOLD_AGAIN, vm, untold));
@@ -345,7 +348,7 @@
     fn tell(&mut self, vm: usize, which: &[Fingerprint]) {
         for one in which {
             let collectors = self.collectors(vm, *one);
-            if collectors.contains(&vm) && self.vms[vm].concerns_all(*one) {
+            if collectors.contains(&vm) && self.vms[vm].is_fleet_wide(*one) {
                 self.tell_all(vm, *one);
                 continue;
             }
@@ -362,8 +365,8 @@
     }
 
     fn tell_held(&mut self, vm: usize, to: usize) {
-        let mut held = self.vms[vm].all_held();
-        held.truncate(TOLD_MAX);
+        let mut held = self.vms[vm].held_requests();
+        held.truncate(REPORTS_PER_DATAGRAM_MAX);
         if !held.is_empty() {
             self.tell_one(vm, &held, to, true);
         }
@@ -375,23 +378,23 @@
         }
         let told = which
             .iter()
-            .filter_map(|one| self.vms[vm].tell(self.now, *one, to_all));
+            .filter_map(|one| self.vms[vm].report(self.now, *one, to_all));
         self.under_way
             .push((self.now + TOLD_AFTER, to, told.collect()));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
-        let due = |(at, ..): &mut (Duration, usize, Vec<Told>)| *at <= now;
+        let due = |(at, ..): &mut (Duration, usize, Vec<QuarantineReport>)| *at <= now;
         let arrived: Vec<_> = self.under_way.extract_if(.., due).collect();
         for (_, to, told) in arrived {
             self.received[to] += 1;
             for one in told {
                 let one = one.aged(TOLD_AFTER - TOLD_AGAIN);
-                let news = self.vms[to].told(now, &one, Word::Peer);
+                let news = self.vms[to].apply_report(now, &one, EvidenceSource::Peer);
                 match one.to_all {
                     true if news && self.is_delegate(to) => self.tell_all(to, one.fingerprint),
-                    false if news => self.vms[to].pass_on(one.fingerprint),
+                    false if news => self.vms[to].forward(one.fingerprint),
                     _ => {}
                 }
             }
@@ -415,7 +418,7 @@
 
 fn fingerprint(body: Body) -> Fingerprint {
     let text = format!("{body:?}");
-    Fingerprint::of(&Asked {
+    Fingerprint::of(&RequestIdentity {
         caller: b"",
         method: "POST",
         host: b"desk.example",
--- a/tests/quota_play.rs
+++ b/tests/quota_play.rs
@@ -3,7 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use bramleyseam::decide::quota::{Count, Measure, Quota, Quotas, Source, View, Word};
+use bramleyseam::decide::quota::{
+    CountReport, CountSource, FleetView, Quota, QuotaMeasure, Quotas, WorkspaceCount,
+};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -13,7 +15,7 @@
 const RATE_A_VM: f64 = 4.2;
 /// Part of a workspace's quota that it uses in calm hours: one in so much.
 const ROOM: f64 = 1.6;
-const MEASURE: Measure = Measure {
+const MEASURE: QuotaMeasure = QuotaMeasure {
     window: Duration::from_secs(5),
     overage: 0.1,
     slack: 20.0,
@@ -186,7 +188,7 @@
             // In the store, and read by whoever starts.
             marks = vms[0]
                 .quotas
-                .near(now, |key| Some(rows[key as usize].quota));
+                .near_limit(now, |key| Some(rows[key as usize].quota));
         }
         let factor = play.quota.iter().rfind(|(since, _)| at_s >= *since);
         let factor = factor.map_or(1.0, |(_, factor)| *factor);
@@ -264,7 +266,7 @@
             vm.quotas = Quotas::new(MEASURE, ms(vm.down_until));
             marks
                 .iter()
-                .for_each(|workspace| vm.quotas.near_before(*workspace));
+                .for_each(|workspace| vm.quotas.mark_near_limit(*workspace));
         }
     }
 }
@@ -330,7 +332,7 @@
 ) {
     let now = ms(now_ms);
     for vm in vms.iter_mut().filter(|vm| now_ms >= vm.down_until) {
-        let view = View {
+        let view = FleetView {
             store: true,
             large: play.large,
             vms: play.vms as u32,
@@ -340,25 +342,30 @@
     if play.way == Way::Even {
         return;
     }
-    let pressed = |vm: &Vm, count: &Count| {
+    let pressed = |vm: &Vm, count: &WorkspaceCount| {
         let row = &rows[count.workspace as usize];
-        vm.quotas.is_pressed(now, count.workspace, row.quota)
+        vm.quotas
+            .needs_prompt_report(now, count.workspace, row.quota)
     };
-    let told = |vm: &mut Vm, counted_for: Duration, source: Source, vms: u32, counts: &[Count]| {
-        let word = Word {
+    let told = |vm: &mut Vm,
+                counted_for: Duration,
+                source: CountSource,
+                vms: u32,
+                counts: &[WorkspaceCount]| {
+        let word = CountReport {
             vms,
             counted_for,
             leaving: false,
             counts,
         };
-        vm.quotas.told(now, source, word);
+        vm.quotas.apply_report(now, source, word);
     };
     for from in 0..vms.len() {
         if now_ms < vms[from].down_until || !now_ms.is_multiple_of(ROUND_MS) {
             continue;
         }
         let all = vms[from].quotas.counts(now);
-        let near_quota: Vec<Count> = all
+        let near_quota: Vec<WorkspaceCount> = all
             .iter()
             .filter(|count| pressed(&vms[from], count))
             .copied()
@@ -385,7 +392,13 @@
                 if owner >= 1_000_000 {
                     vms[to].quotas.replaced(owner - 1_000_000);
                 }
-                told(&mut vms[to], counted, Source::Process(owner), 1, counts);
+                told(
+                    &mut vms[to],
+                    counted,
+                    CountSource::Process(owner),
+                    1,
+                    counts,
+                );
             }
         }
         if play.large && from < DELEGATES * play.domains {
@@ -408,12 +421,14 @@
     let domain = from % play.domains;
     let members = (0..play.vms).filter(|at| at % play.domains == domain && *at != from);
     let members: Vec<(u64, u64)> = members.map(|at| (at as u64, vms[at].owner)).collect();
-    let mut counts = vms[from].quotas.of_domain(now, &members);
+    let mut counts = vms[from].quotas.domain_counts(now, &members);
     let far = now_ms.is_multiple_of(6 * ROUND_MS);
     if !now_ms.is_multiple_of(24 * ROUND_MS) {
-        let pressed = |count: &Count| {
+        let pressed = |count: &WorkspaceCount| {
             let row = &rows[count.workspace as usize];
-            vms[from].quotas.is_pressed(now, count.workspace, row.quota)
+            vms[from]
+                .quotas
+                .needs_prompt_report(now, count.workspace, row.quota)
         };
         counts.rows.retain(pressed);
     }
@@ -429,13 +444,14 @@
         } else {
             counts.rows.clone()
         };
-        let word = Word {
+        let word = CountReport {
             vms: counts.vms - u32::from(near),
             counted_for: counts.counted_for,
             leaving: false,
             counts: &rows,
         };
-        vm.quotas.told(now, Source::Domain(domain as u64), word);
+        vm.quotas
+            .apply_report(now, CountSource::Domain(domain as u64), word);
     }
 }
 
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -4,10 +4,11 @@
 use std::time::Duration;
 
 use bramleyseam::decide::online::{
-    Action, Arrival, Event, Online, Outcome, Service, ANSWER_SILENCE, SILENCE, SILENCE_CROWDED,
+    Action, Arrival, AttemptOutcome, Event, Online, ServiceConfig, ANSWER_SILENCE, SILENCE,
+    SILENCE_CROWDED,
 };
-use bramleyseam::decide::refusal::Kind;
-use bramleyseam::decide::retry::Reach;
+use bramleyseam::decide::refusal::RefusalKind;
+use bramleyseam::decide::retry::AttemptStage;
 use bramleyseam::id::EndpointId;
 use bramleyseam::standin::table::declared;
 use rand::rngs::SmallRng;
@@ -32,8 +33,8 @@
         online.watch_silence = true;
         online
             .endpoints
-            .declare(declared(endpoints, SERVICE, SLOTS, |_| 1));
-        let service = Service {
+            .configure(declared(endpoints, SERVICE, SLOTS, |_| 1));
+        let service = ServiceConfig {
             first_token_goal: ms(300),
             queue_limit: 40,
             max_in_flight: 1000,
@@ -67,8 +68,8 @@
         out
     }
 
-    fn failed(&mut self, request: u64, reach: Reach) -> Vec<Action> {
-        let outcome = Outcome::Failed {
+    fn failed(&mut self, request: u64, reach: AttemptStage) -> Vec<Action> {
+        let outcome = AttemptOutcome::Failed {
             reach,
             blame: true,
             ended: false,
@@ -89,7 +90,7 @@
         while self.now < until {
             self.now += TICK;
             if let Some(row) = heard.and_then(|id| self.online.endpoints.get_mut(id)) {
-                row.heard_at = self.now;
+                row.last_received_at = self.now;
             }
             out.extend(self.tick());
         }
@@ -121,7 +122,7 @@
     let first = sent_to(&world.arrive(1, true, 2)).unwrap();
     let actions = world.pass(SILENCE + TICK, None);
     assert_eq!(gave_up(&actions), [1]);
-    let again = sent_to(&world.failed(1, Reach::MaybeSent)).unwrap();
+    let again = sent_to(&world.failed(1, AttemptStage::MaybeSent)).unwrap();
     assert_ne!(first, again);
 }
 
@@ -134,7 +135,7 @@
     world.pass(ms(500), Some(first));
     let actions = world.pass(SILENCE + TICK, None);
     assert_eq!(gave_up(&actions), [1]);
-    assert!(sent_to(&world.failed(1, Reach::Answering)).is_some());
+    assert!(sent_to(&world.failed(1, AttemptStage::Answering)).is_some());
 }
 
 // A stream stops in its middle and its caller waits until the deadline. Its connection has gone silent for good, while
@@ -149,7 +150,7 @@
     world.event(Event::FirstToken { request: 2 });
     let mut given = Vec::new();
     for _ in 0..3 {
-        world.online.heard(world.now, 2);
+        world.online.note_response(world.now, 2);
         given.extend(gave_up(&world.pass(ANSWER_SILENCE / 2, Some(endpoint))));
     }
     assert_eq!(given, [1]);
@@ -174,10 +175,10 @@
     world.event(Event::FirstToken { request: 1 });
     let mut left: Vec<_> = declared(2, SERVICE, SLOTS, |_| 1).collect();
     left.retain(|(id, _)| *id != first);
-    world.online.endpoints.declare(left);
+    world.online.endpoints.configure(left);
     let actions = world.pass(ANSWER_SILENCE + TICK, None);
     assert_eq!(gave_up(&actions), [1]);
-    assert!(sent_to(&world.failed(1, Reach::Answering)).is_some());
+    assert!(sent_to(&world.failed(1, AttemptStage::Answering)).is_some());
 }
 
 // A renewal would be filed twice. It may not be repeated, so nobody gives it up: the answer may come.
@@ -241,12 +242,12 @@
 fn attempts_bounded() {
     let mut world = World::new(3);
     world.arrive(1, true, 2);
-    assert!(sent_to(&world.failed(1, Reach::MaybeSent)).is_some());
-    let end = world.failed(1, Reach::MaybeSent);
+    assert!(sent_to(&world.failed(1, AttemptStage::MaybeSent)).is_some());
+    let end = world.failed(1, AttemptStage::MaybeSent);
     let [Action::Refuse { kind, not_run, .. }] = &end[..] else {
         panic!("{end:?}");
     };
-    assert_eq!((*kind, *not_run), (Kind::EndpointFailed, false));
+    assert_eq!((*kind, *not_run), (RefusalKind::EndpointFailed, false));
 }
 
 // A caller is told "not run" and asks again although its renewal was filed: the first engine may have
@@ -255,8 +256,8 @@
 fn doubt_remembered() {
     let mut world = World::new(2);
     world.arrive(1, true, 2);
-    world.failed(1, Reach::MaybeSent);
-    let end = world.failed(1, Reach::Refused);
+    world.failed(1, AttemptStage::MaybeSent);
+    let end = world.failed(1, AttemptStage::Refused);
     assert!(
         matches!(&end[..], [Action::Refuse { not_run: false, .. }]),
         "{end:?}"
@@ -268,7 +269,7 @@
 fn refused_is_not_run() {
     let mut world = World::new(2);
     world.arrive(1, false, 1);
-    let end = world.failed(1, Reach::Refused);
+    let end = world.failed(1, AttemptStage::Refused);
     assert!(
         matches!(&end[..], [Action::Refuse { not_run: true, .. }]),
         "{end:?}"
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use bramleyseam::decide::peers::{Counts, Heartbeat, Peers, Versions, VmRecord};
-use bramleyseam::decide::proofs::ProofAges;
+use bramleyseam::decide::freshness::ConfirmationAges;
+use bramleyseam::decide::peers::{Heartbeat, KnownVersions, Peers, QuotaCounts, VmRecord};
 use bramleyseam::id;
 
 const OWN: (u64, u64) = (1, 100);
@@ -23,12 +23,12 @@
         store: true,
         rules: 1,
         endpoints: 1,
-        proofs: ProofAges::default(),
+        proofs: ConfirmationAges::default(),
         jobs: 1,
         waiting: 0,
         backlog: Vec::new(),
         peer_port: 2,
-        counts: Counts::default(),
+        counts: QuotaCounts::default(),
         rows: Vec::new(),
     }
 }
@@ -50,11 +50,11 @@
         peer_port: 2,
         core_share: 0.25,
     };
-    peers.registered(ms(0), OWN, &[registered]);
-    assert!(peers.alive(ms(0), OWN.1, 7));
+    peers.apply_registrations(ms(0), OWN, &[registered]);
+    assert!(peers.is_owner_alive(ms(0), OWN.1, 7));
     assert!(!peers.is_replaced(7));
-    peers.heard(ms(100), address(), &beat(8, 1));
-    assert!(!peers.alive(ms(100), OWN.1, 7));
+    peers.apply_heartbeat(ms(100), address(), &beat(8, 1));
+    assert!(!peers.is_owner_alive(ms(100), OWN.1, 7));
     assert!(peers.is_replaced(7));
 }
 
@@ -70,7 +70,7 @@
         peer_port: 2,
         core_share: 0.25,
     };
-    peers.registered(ms(0), (id::of("vm-a"), 100), &[registered]);
+    peers.apply_registrations(ms(0), (id::of("vm-a"), 100), &[registered]);
     assert!(peers.is_replaced(7));
 }
 
@@ -78,11 +78,11 @@
 #[test]
 fn late_datagram() {
     let mut peers = Peers::default();
-    peers.heard(ms(0), address(), &beat(7, 40));
-    peers.heard(ms(100), address(), &beat(8, 1));
-    peers.heard(ms(110), address(), &beat(7, 41));
-    peers.heard(ms(200), address(), &beat(8, 2));
-    assert!(peers.alive(ms(200), OWN.1, 8));
+    peers.apply_heartbeat(ms(0), address(), &beat(7, 40));
+    peers.apply_heartbeat(ms(100), address(), &beat(8, 1));
+    peers.apply_heartbeat(ms(110), address(), &beat(7, 41));
+    peers.apply_heartbeat(ms(200), address(), &beat(8, 2));
+    assert!(peers.is_owner_alive(ms(200), OWN.1, 8));
     assert!(!peers.is_replaced(8));
     assert!(peers.is_replaced(7));
 }
@@ -97,8 +97,8 @@
             store,
             ..beat(200, sequence)
         };
-        peers.heard(ms(at), address(), &beat);
-        peers.served_for(ms(at), ms(1000))
+        peers.apply_heartbeat(ms(at), address(), &beat);
+        peers.is_store_serving_for(ms(at), ms(1000))
     };
     assert!(!said(0, 1, true));
     assert!(said(1000, 2, true));
@@ -120,14 +120,14 @@
         ..beat(owner, 1)
     };
     let far = SocketAddr::from(([127, 0, 0, 2], 1));
-    peers.heard(ms(0), address(), &newer("vm-b", 7));
-    peers.heard(ms(0), far, &newer("vm-c", 8));
+    peers.apply_heartbeat(ms(0), address(), &newer("vm-b", 7));
+    peers.apply_heartbeat(ms(0), far, &newer("vm-c", 8));
     let ahead = |answers: &dyn Fn(SocketAddr) -> bool| {
-        let known = Versions {
+        let known = KnownVersions {
             rules: 1,
             endpoints: 1,
         };
-        let asked = peers.ahead(ms(10), 1, known, answers).rules;
+        let asked = peers.newer_peers(ms(10), 1, known, answers).rules;
         asked.map(|asked| asked.ip())
     };
     let first = ahead(&|_| true).unwrap();
--- a/tests/waiting_limit.rs
+++ b/tests/waiting_limit.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use bramleyseam::decide::backlog::{
-    Backlog, Reservations, Reserved, View, Way, HEARD_AFTER, RETURN_MAX, RETURN_MIN,
+    AdmissionPath, Backlog, BacklogView, Reservations, Reserved, HEARD_AFTER, RETURN_MAX,
+    RETURN_MIN,
 };
 use bramleyseam::id::JobId;
 use quickcheck::quickcheck;
@@ -15,8 +16,8 @@
 const LIMIT: u64 = 100_000;
 const STEP: Duration = Duration::from_millis(20);
 
-fn view(waiting_tokens: u64, vms: u32) -> View {
-    View {
+fn view(waiting_tokens: u64, vms: u32) -> BacklogView {
+    BacklogView {
         limit_tokens: LIMIT,
         waiting_tokens,
         vms,
@@ -102,7 +103,7 @@
         one.vm == vm || one.accepted_at <= self.started[vm] || heard
     }
 
-    fn view(&self, vm: usize) -> View {
+    fn view(&self, vm: usize) -> BacklogView {
         let known = self.standing.values().filter(|one| self.knows(vm, one));
         let heard = |at: Duration| self.now >= at + HEARD_AFTER;
         let open = known.filter(|one| !one.finished_at.is_some_and(heard));
@@ -113,7 +114,7 @@
             one.vm != vm && heard && one.began_at > self.started[one.vm]
         });
         let told: u64 = told.map(|one| one.tokens).sum();
-        View {
+        BacklogView {
             limit_tokens: self.limit,
             waiting_tokens: open + told + self.vms[vm].being_written(ROUTE, known),
             vms: self.vms.len() as u32,
@@ -124,10 +125,10 @@
         self.next += 1;
         let id = job(self.next);
         let view = self.view(vm);
-        let let_in = match self.vms[vm].ask(self.now, ROUTE, &id, tokens, view) {
-            Way::Share => true,
-            Way::Full => false,
-            Way::Reserve => self.reserve(vm, &id, tokens, view),
+        let let_in = match self.vms[vm].request_admission(self.now, ROUTE, &id, tokens, view) {
+            AdmissionPath::Share => true,
+            AdmissionPath::Full => false,
+            AdmissionPath::Reserve => self.reserve(vm, &id, tokens, view),
         };
         if !let_in {
             self.seen.refused += 1;
@@ -145,11 +146,11 @@
             });
             return;
         }
-        self.vms[vm].stands(self.now, &id);
+        self.vms[vm].job_written(self.now, &id);
         self.accept(id, vm, tokens);
     }
 
-    fn reserve(&mut self, vm: usize, id: &JobId, tokens: u64, view: View) -> bool {
+    fn reserve(&mut self, vm: usize, id: &JobId, tokens: u64, view: BacklogView) -> bool {
         let asked = Reserved {
             job: id.clone(),
             tokens,
@@ -274,8 +275,8 @@
         job: job(1),
         tokens: 40_000,
     };
-    let way = backlog.ask(Duration::ZERO, ROUTE, &asked.job, asked.tokens, view);
-    assert_eq!(way, Way::Reserve);
+    let way = backlog.request_admission(Duration::ZERO, ROUTE, &asked.job, asked.tokens, view);
+    assert_eq!(way, AdmissionPath::Reserve);
     let before = Reservations::default();
     let after = backlog.reserve(Duration::ZERO, ROUTE, &before, &asked, view, |_| false, 1);
     assert_eq!(after.unwrap().rows, [asked]);
