--- a/src/decide/batch.rs
+++ b/src/decide/batch.rs
@@ -1,7 +1,7 @@
 //! Batch work of one VM: claims chunks, hands out their items, yields, commits.
 //!
 //! The host carries out the actions and reports back with events. Each chunk that this VM works on
-//! is a [`run::Run`]; what it only knows of is a [`place::Sighting`].
+//! is a [`run::Run`]; what it only knows of is a [`place::ObservedChunk`].
 
 pub mod dispatch;
 pub mod place;
--- a/src/decide/intents.rs
+++ b/src/decide/intents.rs
@@ -71,7 +71,7 @@
     End(IntentRecord),
 }
 
-/// The answer to an [`Ask`].
+/// The answer to an [`IntentRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum IntentVerdict {
     /// It is recorded: go.
--- a/src/decide/online.rs
+++ b/src/decide/online.rs
@@ -182,7 +182,7 @@
     pub endpoints: Endpoints,
     pub services: HashMap<ServiceId, ServiceConfig>,
     pub policy: Policy,
-    /// Whether the host tells [`super::endpoints::Endpoint::heard_at`] and can act on
+    /// Whether the host tells [`super::endpoints::Endpoint::last_received_at`] and can act on
     /// [`Action::GiveUp`].
     pub watch_silence: bool,
     home: DomainId,
--- a/src/decide/peers/delegates.rs
+++ b/src/decide/peers/delegates.rs
@@ -2,7 +2,7 @@
 //!
 //! In a small fleet every VM tells every other one what it has in flight. What one VM hears and handles then
 //! grows with the fleet, and what all of them do with its square: with 250 VMs of an eighth of a core,
-//! heartbeats took all of it and callers got nothing. So above [`MESH_MAX`] VMs each one tells its failure domain, or two delegates
+//! heartbeats took all of it and callers got nothing. So above [`FULL_MESH_VMS_MAX`] VMs each one tells its failure domain, or two delegates
 //! of it where it is large, and these tell the others in summaries, whose size grows with endpoints, not with VMs.
 
 use std::time::Duration;
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -3,10 +3,10 @@
 //! | question | answer |
 //! | --- | --- |
 //! | What is the same request? | Its [`Fingerprint`]: caller, method, host, path with query, body. |
-//! | What speaks against it? | An endpoint that ended while the request was under way there, see [`Quarantine::lost`] and [`Quarantine::ended`]. |
-//! | What speaks for it? | A whole answer anywhere, see [`Quarantine::answered`]: no end before it counts, nor within 20 s after it. |
+//! | What speaks against it? | An endpoint that ended while the request was under way there, see [`Quarantine::run_lost`] and [`Quarantine::endpoint_ended`]. |
+//! | What speaks for it? | A whole answer anywhere, see [`Quarantine::request_answered`]: no end before it counts, nor within 20 s after it. |
 //! | When is it held back? | After three ends without an answer, up to five while endpoints end without it, and 0.3 s after all were told of the second. |
-//! | Who is told? | Two VMs that add up what all have seen; of a second end, and all that follows it, these tell every VM, see [`told`]. |
+//! | Who is told? | Two VMs that add up what all have seen; of a second end, and all that follows it, these tell every VM, see [`report`]. |
 //! | For how long? | Ten minutes. Meanwhile it may run once after 15 s and once after 150 s, at one VM of the fleet. |
 //!
 //! The failure: one caller's request ends each endpoint that runs it and comes again under new ids at any VM, or an item of a
--- a/src/serve/proving.rs
+++ b/src/serve/proving.rs
@@ -24,7 +24,7 @@
 /// The failure: the connection on which a watch waits goes silent for good while all other calls go through, on every
 /// VM at once, so that nothing fails and no VM knows more than another. Routes that were added are refused, and engines
 /// that left are used, for the 29.8 s of the wait. So the same question is asked again on another connection
-/// while the watch waits, by some VMs for all ([`crate::decide::proofs`]). An answer proves that the watch has missed
+/// while the watch waits, by some VMs for all ([`crate::decide::freshness`]). An answer proves that the watch has missed
 /// nothing; what it has missed comes with the answer, and the watch is set anew. Seen before with six
 /// VMs: rules known after 27 s; since: within 2 s.
 pub async fn ask_store(
