--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -1,13 +1,15 @@
-//! The limit on tokens of batch items that wait on a route, kept by all VMs together.
+//! Limits the tokens of batch items that wait on a route, across all VMs.
 //!
-//! A VM knows what waits from the jobs' records and from the other VMs' heartbeats, both late. So a job
-//! comes in by one of two ways. Each VM has an even share of a quarter of the room that is left, which
-//! it hands out by itself, without any call. What that doesn't hold is written into one record of the
-//! metadata store by compare-and-swap, which orders these jobs, up to the limit less whatever all VMs
-//! may have handed out by themselves meanwhile.
+//! A VM counts waiting tokens from the job records and from the heartbeats of the other VMs, both
+//! of which arrive with a delay. A job is therefore admitted on one of two paths. Each VM admits
+//! jobs by itself, without any call to the store, up to an even share of a quarter of the free
+//! tokens. All other jobs are first reserved in one record of the metadata store by
+//! compare-and-swap, which orders them; reservations may use the limit less what all VMs may have
+//! admitted by themselves in the meantime.
 //!
-//! The failure: a burst of jobs reaches all VMs within the time in which none has heard of the others.
-//! Each would take what fits by its own count, and together they would exceed the limit several times.
+//! Without this, a burst of jobs that reaches all VMs before any has received the others' reports
+//! would be admitted by each VM's own count, and together they would exceed the limit several
+//! times.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -16,38 +18,39 @@
 
 use crate::id::{self, JobId, Nonce};
 
-/// A VM has heard of a job that another one took: the pace of heartbeats across failure domains and the
-/// time to handle one.
-pub const HEARD_AFTER: Duration = Duration::from_millis(700);
-/// What a VM let in by itself counts against its share for so long. Each acts on a count that is
-/// [`HEARD_AFTER`] old; with a window of at least e times that delay the sum of the shares rises to
-/// their part of the room without passing it. With a window of one delay it passes it by half when all
-/// VMs are flooded.
-pub const SHARE_WINDOW: Duration = HEARD_AFTER.saturating_mul(3);
-/// Shares in use now were worked out from what waited within this time.
-pub const LOWEST_WINDOW: Duration = HEARD_AFTER.saturating_mul(4);
-/// Part of the room that is handed out without asking: one in so many. A flood that uses up the rest by
-/// reservations leaves that much empty at first, and a sixteenth of the limit a window later; with a
-/// half each, jobs were refused at two thirds of the limit.
-pub const SHARED_PART: u64 = 4;
-/// A write whose answer was lost may still take effect for some seconds, and so may a reservation be
-/// used; after this nobody counts on either.
-pub const DOUBT: Duration = Duration::from_secs(10);
-/// Reservations in one record: 40 bytes each keep it far below what a value holds, and no route gets as
-/// many jobs within [`DOUBT`] while it is near its limit.
-pub const RESERVED_MAX: usize = 512;
-/// Window over which the pace of finished tokens is taken: several items long.
-pub const PACE_WINDOW: Duration = Duration::from_secs(8);
-/// Bounds of the time after which a refused caller is told to come back.
+/// Time until a VM has received the report of a job that another VM admitted: the heartbeat
+/// interval across failure domains plus processing time.
+pub const PEER_REPORT_DELAY: Duration = Duration::from_millis(700);
+/// How long a job that a VM admitted by itself counts against the VM's share. Each VM acts on a
+/// count that is [`PEER_REPORT_DELAY`] old; with a window of at least e times that delay the sum of
+/// the shares approaches their part of the free tokens without overshooting. With a window of one
+/// delay it overshoots by half when all VMs are flooded.
+pub const SHARE_WINDOW: Duration = PEER_REPORT_DELAY.saturating_mul(3);
+/// Window that covers the counts from which all shares in use now were computed.
+pub const LOWEST_WAITING_WINDOW: Duration = PEER_REPORT_DELAY.saturating_mul(4);
+/// The part of the free tokens that VMs admit without a reservation is one divided by this. When a
+/// flood uses up the rest through reservations, that part stays empty at first, and a sixteenth of
+/// the limit one window later. With a divisor of 2, jobs were refused at two thirds of the limit.
+pub const SHARED_DIVISOR: u64 = 4;
+/// A write without an answer may still take effect for some seconds, and a reservation may still be
+/// used; after this time neither is counted.
+pub const UNCERTAIN_WRITE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Reservations in one record. At 40 bytes each the record stays far below the size limit of a
+/// value, and no route gets as many jobs within [`UNCERTAIN_WRITE_TIMEOUT`] while it is near its
+/// limit.
+pub const RESERVATIONS_MAX: usize = 512;
+/// Window over which the rate of finished tokens is measured: several items long.
+pub const FINISH_RATE_WINDOW: Duration = Duration::from_secs(8);
+/// Bounds of the `Retry-After` time of a refused caller.
 pub const RETURN_MIN: Duration = Duration::from_millis(500);
-/// While nothing is finished nobody can say when there will be room; this is the time that one look
-/// at the queue is worth.
-pub const RETURN_MAX: Duration = Duration::from_secs(20);
+/// Used while no tokens are finished, since the time until there is capacity is unknown then.
+pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(20);
 
-/// Hash of a route's name, and of the workspace whose items are counted there.
+/// Hash of a route's name, and of the workspace when its items are counted separately.
 pub type RouteKey = u64;
 
-/// The key of a route's tokens; those of each workspace have a limit of their own.
+/// Key under which the tokens of a route are counted. With a workspace, that of the workspace's own
+/// limit on the route.
 pub fn key(route: &str, workspace: Option<&str>) -> RouteKey {
     let of_route = id::of(route);
     workspace.map_or(of_route, |workspace| {
@@ -55,50 +58,50 @@
     })
 }
 
-/// What a VM knows of one route when a job asks to be let in.
+/// Waiting tokens and limit of one route when a job requests admission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BacklogView {
     /// Tokens that may wait.
     pub limit_tokens: u64,
-    /// Tokens that wait, by all that this VM has heard, with what it took itself.
+    /// Waiting tokens according to all reports received, including what this VM admitted itself.
     pub waiting_tokens: u64,
-    /// VMs that may let jobs in, this one included; at least 1.
+    /// VMs that may admit jobs, including this one; at least 1.
     pub vms: u32,
 }
 
-/// How a job may come in.
+/// How a job may be admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdmissionPath {
-    /// Within this VM's own share.
+    /// Within this VM's share, without a call to the store.
     Share,
-    /// Only once it is reserved in the store.
+    /// Only after a reservation in the store.
     Reserve,
-    /// Not now.
+    /// Refused: the limit is reached.
     Full,
 }
 
-/// One job that was reserved.
+/// Reservation of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserved {
     pub job: JobId,
     pub tokens: u64,
 }
 
-/// The store's record of a route's reservations.
+/// The stored record of a route's reservations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservations {
     pub rows: Vec<Reserved>,
     pub nonce: Nonce,
 }
 
-/// Where the write of a job stands that this VM lets in.
+/// State of the write of a job record that this VM admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Write {
-    /// Under way, or its answer was lost.
+enum JobWrite {
+    /// In progress, or its answer was lost.
     Open {
         since: Duration,
     },
-    Stands {
+    Confirmed {
         since: Duration,
     },
 }
@@ -107,24 +110,24 @@
 struct Admission {
     route: RouteKey,
     tokens: u64,
-    way: AdmissionPath,
-    write: Write,
+    path: AdmissionPath,
+    write: JobWrite,
 }
 
-/// What one VM has let in of late, and how fast routes' tokens are finished.
+/// Jobs that one VM admitted recently, and the rate at which tokens are finished by route.
 #[derive(Debug, Default)]
 pub struct Backlog {
-    rows: HashMap<JobId, Admission>,
-    /// When this VM first saw each reservation.
-    reserved_at: HashMap<JobId, Duration>,
-    /// Finished tokens by route, with when they became known; the oldest first.
-    finished: HashMap<RouteKey, Vec<(Duration, u64)>>,
-    /// Tokens that waited by route and time, the oldest first.
-    waited: HashMap<RouteKey, VecDeque<(Duration, u64)>>,
+    admissions: HashMap<JobId, Admission>,
+    /// When this VM first saw each reservation in the record.
+    reservation_seen_at: HashMap<JobId, Duration>,
+    /// Finished tokens by route, with the time when they became known; oldest first.
+    finished_tokens: HashMap<RouteKey, Vec<(Duration, u64)>>,
+    /// Waiting tokens by route and time; oldest first.
+    waiting_samples: HashMap<RouteKey, VecDeque<(Duration, u64)>>,
 }
 
 impl Backlog {
-    /// Decides on a job, and counts it when it may come in by this VM's share.
+    /// Decides whether a job is admitted, and counts it when it fits this VM's share.
     pub fn request_admission(
         &mut self,
         now: Duration,
@@ -133,82 +136,98 @@
         tokens: u64,
         view: BacklogView,
     ) -> AdmissionPath {
-        if tokens > room(view) {
+        if tokens > free_tokens(view) {
             return AdmissionPath::Full;
         }
-        let own = self.unseen(now, route);
-        let shared = room_before(view, own) / SHARED_PART;
-        if own + tokens <= shared / u64::from(view.vms.max(1)) {
+        let own_tokens = self.unreported_tokens(now, route);
+        let shared_tokens = free_tokens_without_own(view, own_tokens) / SHARED_DIVISOR;
+        if own_tokens + tokens <= shared_tokens / u64::from(view.vms.max(1)) {
             self.admit(now, route, job, tokens, AdmissionPath::Share);
             return AdmissionPath::Share;
         }
         AdmissionPath::Reserve
     }
 
-    /// Notes what waits on a route; told a few times within [`HEARD_AFTER`].
+    /// Records the waiting tokens of a route; called several times within [`PEER_REPORT_DELAY`].
     pub fn note_waiting(&mut self, now: Duration, route: RouteKey, waiting_tokens: u64) {
-        let seen = self.waited.entry(route).or_default();
-        let old = |at: Duration| now >= at + LOWEST_WINDOW;
-        while seen.front().is_some_and(|(at, _)| old(*at)) {
-            seen.pop_front();
+        let samples = self.waiting_samples.entry(route).or_default();
+        let expired = |at: Duration| now >= at + LOWEST_WAITING_WINDOW;
+        while samples.front().is_some_and(|(at, _)| expired(*at)) {
+            samples.pop_front();
         }
-        seen.push_back((now, waiting_tokens));
+        samples.push_back((now, waiting_tokens));
     }
 
-    /// The least that waited while shares in use now were worked out. A VM that does not know it for
-    /// that long takes it that nothing did.
-    fn lowest(&self, now: Duration, route: RouteKey, view: BacklogView) -> u64 {
-        let seen = self.waited.get(&route);
-        let known = |(at, _): &&(Duration, u64)| now >= *at + SHARE_WINDOW;
-        let Some(seen) = seen.filter(|seen| seen.front().as_ref().is_some_and(known)) else {
+    /// Lowest count of waiting tokens from which shares in use now were computed. Zero while this
+    /// VM has no sample that old.
+    fn lowest_waiting(&self, now: Duration, route: RouteKey, view: BacklogView) -> u64 {
+        let samples = self.waiting_samples.get(&route);
+        let is_old_enough = |(at, _): &&(Duration, u64)| now >= *at + SHARE_WINDOW;
+        let Some(samples) =
+            samples.filter(|samples| samples.front().as_ref().is_some_and(is_old_enough))
+        else {
             return 0;
         };
-        let least = seen.iter().map(|(_, tokens)| *tokens).min();
-        least.unwrap_or(0).min(view.waiting_tokens)
+        let lowest = samples.iter().map(|(_, tokens)| *tokens).min();
+        lowest.unwrap_or(0).min(view.waiting_tokens)
     }
 
     /// The record with a reservation for the job; `None` when it doesn't fit beside the others.
     ///
-    /// `known` tells whether a job's record is known here, so that `view` counts it.
+    /// `known` returns whether a job's record is known here, so that `view` counts it.
     ///
-    /// Shares that other VMs hand out meanwhile are left free. The failure: they go by counts that are
-    /// [`HEARD_AFTER`] old, and a flood of reservations takes the room from under them.
+    /// Leaves free what other VMs may admit by their shares. Without this, a flood of reservations
+    /// would use tokens that they still admit against, since their counts are [`PEER_REPORT_DELAY`]
+    /// old.
     #[allow(clippy::too_many_arguments)]
     pub fn reserve(
         &mut self,
         now: Duration,
         route: RouteKey,
         before: &Reservations,
-        asked: &Reserved,
+        requested: &Reserved,
         view: BacklogView,
         known: impl Fn(&JobId) -> bool,
         nonce: Nonce,
     ) -> Option<Reservations> {
         let mut rows = before.rows.clone();
         for row in &rows {
-            self.reserved_at.entry(row.job.clone()).or_insert(now);
+            self.reservation_seen_at
+                .entry(row.job.clone())
+                .or_insert(now);
         }
-        let seen_at = &self.reserved_at;
+        let seen_at = &self.reservation_seen_at;
         rows.retain(|row| {
-            let kept = if known(&row.job) { SHARE_WINDOW } else { DOUBT };
-            row.job != asked.job && now < seen_at[&row.job] + kept
+            let counted_for = if known(&row.job) {
+                SHARE_WINDOW
+            } else {
+                UNCERTAIN_WRITE_TIMEOUT
+            };
+            row.job != requested.job && now < seen_at[&row.job] + counted_for
         });
         let unknown = rows.iter().filter(|row| !known(&row.job));
-        let held: u64 = unknown.map(|row| row.tokens).sum();
-        let lowest = self.lowest(now, route, view);
-        let shared = view.limit_tokens.saturating_sub(lowest) / SHARED_PART;
-        let left = room(view).saturating_sub(shared);
-        if rows.len() >= RESERVED_MAX || held + asked.tokens > left {
+        let reserved_tokens: u64 = unknown.map(|row| row.tokens).sum();
+        let lowest_waiting = self.lowest_waiting(now, route, view);
+        let shared_tokens = view.limit_tokens.saturating_sub(lowest_waiting) / SHARED_DIVISOR;
+        let available = free_tokens(view).saturating_sub(shared_tokens);
+        if rows.len() >= RESERVATIONS_MAX || reserved_tokens + requested.tokens > available {
             return None;
         }
-        rows.push(asked.clone());
-        self.reserved_at.retain(|_, at| now < *at + 2 * DOUBT);
+        rows.push(requested.clone());
+        self.reservation_seen_at
+            .retain(|_, at| now < *at + 2 * UNCERTAIN_WRITE_TIMEOUT);
         Some(Reservations { rows, nonce })
     }
 
-    /// A reservation stands: the job's own write follows.
-    pub fn reserved(&mut self, now: Duration, route: RouteKey, asked: &Reserved) {
-        self.admit(now, route, &asked.job, asked.tokens, AdmissionPath::Reserve);
+    /// Records that a reservation was written; the write of the job record follows.
+    pub fn reserved(&mut self, now: Duration, route: RouteKey, reservation: &Reserved) {
+        self.admit(
+            now,
+            route,
+            &reservation.job,
+            reservation.tokens,
+            AdmissionPath::Reserve,
+        );
     }
 
     fn admit(
@@ -217,66 +236,78 @@
         route: RouteKey,
         job: &JobId,
         tokens: u64,
-        way: AdmissionPath,
+        path: AdmissionPath,
     ) {
-        let write = Write::Open { since: now };
-        let row = Admission {
+        let write = JobWrite::Open { since: now };
+        let admission = Admission {
             route,
             tokens,
-            way,
+            path,
             write,
         };
-        self.rows.insert(job.clone(), row);
+        self.admissions.insert(job.clone(), admission);
     }
 
-    /// The job's record stands.
+    /// Records that the job record was written.
     pub fn job_written(&mut self, now: Duration, job: &JobId) {
-        if let Some(row) = self.rows.get_mut(job) {
-            row.write = Write::Stands { since: now };
+        if let Some(admission) = self.admissions.get_mut(job) {
+            admission.write = JobWrite::Confirmed { since: now };
         }
     }
 
-    /// Nothing of the job was written, nor will be.
+    /// Forgets a job whose record was not written and will not be.
     pub fn job_abandoned(&mut self, job: &JobId) {
-        self.rows.remove(job);
+        self.admissions.remove(job);
     }
 
-    /// Keys of the jobs that are being written here.
+    /// Route keys of the jobs whose records are being written here.
     pub fn keys_being_written(&self) -> impl Iterator<Item = RouteKey> + '_ {
-        let open = |row: &&Admission| matches!(row.write, Write::Open { .. });
-        self.rows.values().filter(open).map(|row| row.route)
+        let open = |admission: &&Admission| matches!(admission.write, JobWrite::Open { .. });
+        self.admissions
+            .values()
+            .filter(open)
+            .map(|admission| admission.route)
     }
 
-    /// Tokens of jobs that are being written here and are not known from their records.
+    /// Tokens of jobs whose records are being written here and are not known yet.
     pub fn being_written(&self, route: RouteKey, known: impl Fn(&JobId) -> bool) -> u64 {
-        let open = |(job, row): &(&JobId, &Admission)| {
-            row.route == route && matches!(row.write, Write::Open { .. }) && !known(job)
+        let open = |(job, admission): &(&JobId, &Admission)| {
+            admission.route == route
+                && matches!(admission.write, JobWrite::Open { .. })
+                && !known(job)
         };
-        self.rows
+        self.admissions
             .iter()
             .filter(open)
-            .map(|(_, row)| row.tokens)
+            .map(|(_, admission)| admission.tokens)
             .sum()
     }
 
-    /// Tokens that this VM took by itself and that others may not have counted yet.
-    fn unseen(&mut self, now: Duration, route: RouteKey) -> u64 {
-        self.rows.retain(|_, row| match row.write {
-            Write::Open { since } => now < since + DOUBT,
-            Write::Stands { since } => now < since + SHARE_WINDOW,
-        });
-        let own = |row: &&Admission| row.route == route && row.way == AdmissionPath::Share;
-        self.rows.values().filter(own).map(|row| row.tokens).sum()
+    /// Tokens that this VM admitted by its share and that other VMs may not have counted yet.
+    fn unreported_tokens(&mut self, now: Duration, route: RouteKey) -> u64 {
+        self.admissions
+            .retain(|_, admission| match admission.write {
+                JobWrite::Open { since } => now < since + UNCERTAIN_WRITE_TIMEOUT,
+                JobWrite::Confirmed { since } => now < since + SHARE_WINDOW,
+            });
+        let own = |admission: &&Admission| {
+            admission.route == route && admission.path == AdmissionPath::Share
+        };
+        self.admissions
+            .values()
+            .filter(own)
+            .map(|admission| admission.tokens)
+            .sum()
     }
 
-    /// Notes tokens that became known as finished.
+    /// Records tokens that became known as finished.
     pub fn finished(&mut self, now: Duration, route: RouteKey, tokens: u64) {
-        let rows = self.finished.entry(route).or_default();
-        rows.retain(|(at, _)| now < *at + PACE_WINDOW);
-        rows.push((now, tokens));
+        let samples = self.finished_tokens.entry(route).or_default();
+        samples.retain(|(at, _)| now < *at + FINISH_RATE_WINDOW);
+        samples.push((now, tokens));
     }
 
-    /// When a job that was refused may find room, from how fast waiting tokens are finished.
+    /// Time after which a refused job may fit, from the rate of finished tokens.
     pub fn return_after(
         &self,
         now: Duration,
@@ -284,24 +315,30 @@
         tokens: u64,
         view: BacklogView,
     ) -> Duration {
-        let rows = self.finished.get(&route).map_or(&[][..], Vec::as_slice);
-        let recent = rows.iter().filter(|(at, _)| now < *at + PACE_WINDOW);
-        let done: u64 = recent.map(|(_, tokens)| tokens).sum();
-        if done == 0 {
-            return RETURN_MAX;
+        let samples = self
+            .finished_tokens
+            .get(&route)
+            .map_or(&[][..], Vec::as_slice);
+        let recent = samples
+            .iter()
+            .filter(|(at, _)| now < *at + FINISH_RATE_WINDOW);
+        let finished: u64 = recent.map(|(_, tokens)| tokens).sum();
+        if finished == 0 {
+            return RETRY_AFTER_MAX;
         }
-        let over = (view.waiting_tokens + 2 * tokens).saturating_sub(view.limit_tokens);
-        let wait = PACE_WINDOW.mul_f64(over as f64 / done as f64);
-        wait.clamp(RETURN_MIN, RETURN_MAX)
+        let excess = (view.waiting_tokens + 2 * tokens).saturating_sub(view.limit_tokens);
+        let wait = FINISH_RATE_WINDOW.mul_f64(excess as f64 / finished as f64);
+        wait.clamp(RETURN_MIN, RETRY_AFTER_MAX)
     }
 }
 
-fn room(view: BacklogView) -> u64 {
+fn free_tokens(view: BacklogView) -> u64 {
     view.limit_tokens.saturating_sub(view.waiting_tokens)
 }
 
-/// Room without what this VM took by itself of late: its share is one of all of them.
-fn room_before(view: BacklogView, own: u64) -> u64 {
-    let waiting = view.waiting_tokens.saturating_sub(own);
+/// Free tokens before what this VM admitted recently by its share: all VMs take their shares of the
+/// same amount.
+fn free_tokens_without_own(view: BacklogView, own_tokens: u64) -> u64 {
+    let waiting = view.waiting_tokens.saturating_sub(own_tokens);
     view.limit_tokens.saturating_sub(waiting)
 }
--- a/tests/waiting_limit.rs
+++ b/tests/waiting_limit.rs
@@ -1,11 +1,11 @@
-//! The limit on tokens that wait on a route, over VMs that hear of each other late.
+//! The limit on waiting tokens of a route, over VMs that receive each other's reports with a delay.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use bramleyseam::decide::backlog::{
-    AdmissionPath, Backlog, BacklogView, Reservations, Reserved, HEARD_AFTER, RETURN_MAX,
-    RETURN_MIN,
+    AdmissionPath, Backlog, BacklogView, Reservations, Reserved, PEER_REPORT_DELAY,
+    RETRY_AFTER_MAX, RETURN_MIN,
 };
 use bramleyseam::id::JobId;
 use quickcheck::quickcheck;
@@ -28,121 +28,125 @@
     format!("job-{number}").as_str().into()
 }
 
-/// One accepted job as it stands in the store.
-struct Standing {
+/// An accepted job whose record is in the store.
+struct StoredJob {
     vm: usize,
     tokens: u64,
     accepted_at: Duration,
     finished_at: Option<Duration>,
 }
 
-/// A write whose answer was lost.
-struct Late {
+/// A write of a job record whose answer was lost.
+struct LateWrite {
     vm: usize,
     id: JobId,
     tokens: u64,
-    began_at: Duration,
-    /// When it takes effect, if it does.
-    lands_at: Duration,
+    started_at: Duration,
+    /// When the write takes effect, if it does.
+    effective_at: Duration,
 }
 
-/// What a flood brings about.
+/// Result of a simulated flood.
 #[derive(Default)]
-struct Played {
-    let_in: u64,
+struct SimulationResult {
+    admitted: u64,
     refused: u64,
-    /// The most that waited at an acceptance, as a part of the limit in force.
-    most: f64,
-    /// The most that waited at all.
-    peak: u64,
+    /// The highest ratio of waiting tokens to the limit in force, at an acceptance.
+    max_ratio: f64,
+    /// The highest number of waiting tokens.
+    peak_waiting: u64,
 }
 
-/// VMs that each know of the others' jobs by [`HEARD_AFTER`], a store that orders reservations, engines
-/// that finish jobs, restarts, lost answers, and a limit that changes.
-struct Play {
+/// Simulates VMs that learn of each other's jobs within [`PEER_REPORT_DELAY`], a store that orders
+/// reservations, engines that finish jobs, restarts, lost answers, and a limit that changes.
+struct Simulation {
     rng: SmallRng,
     now: Duration,
     limit: u64,
     vms: Vec<Backlog>,
-    /// A VM that started at this moment has read all that stood then.
+    /// When each VM started; it has read all records that existed then.
     started: Vec<Duration>,
-    /// Jobs that wait, and those finished so late that a VM may count them still.
-    standing: HashMap<JobId, Standing>,
+    /// Jobs that wait, and those finished so recently that a VM may still count them.
+    stored: HashMap<JobId, StoredJob>,
     waiting: u64,
-    late: Vec<Late>,
+    late_writes: Vec<LateWrite>,
     reservations: Reservations,
-    next: u64,
-    seen: Played,
+    last_job: u64,
+    result: SimulationResult,
 }
 
-impl Play {
-    fn new(seed: u64, vms: usize) -> Play {
-        Play {
+impl Simulation {
+    fn new(seed: u64, vms: usize) -> Simulation {
+        Simulation {
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::from_secs(100),
             limit: LIMIT,
             vms: (0..vms).map(|_| Backlog::default()).collect(),
             started: vec![Duration::ZERO; vms],
-            standing: HashMap::new(),
+            stored: HashMap::new(),
             waiting: 0,
-            late: Vec::new(),
+            late_writes: Vec::new(),
             reservations: Reservations::default(),
-            next: 0,
-            seen: Played::default(),
+            last_job: 0,
+            result: SimulationResult::default(),
         }
     }
 
-    /// The time after which a VM hears of what the others do.
+    /// Time until a VM has received the reports of the others.
     fn delay(&self, vm: usize) -> Duration {
-        HEARD_AFTER.mul_f64((vm % 4 + 1) as f64 / 4.0)
+        PEER_REPORT_DELAY.mul_f64((vm % 4 + 1) as f64 / 4.0)
     }
 
-    /// Whether a VM knows a job's record.
-    fn knows(&self, vm: usize, one: &Standing) -> bool {
-        let heard = self.now >= one.accepted_at + self.delay(vm);
-        one.vm == vm || one.accepted_at <= self.started[vm] || heard
+    /// Whether a VM has a job's record.
+    fn has_record(&self, vm: usize, job: &StoredJob) -> bool {
+        let reported = self.now >= job.accepted_at + self.delay(vm);
+        job.vm == vm || job.accepted_at <= self.started[vm] || reported
     }
 
     fn view(&self, vm: usize) -> BacklogView {
-        let known = self.standing.values().filter(|one| self.knows(vm, one));
-        let heard = |at: Duration| self.now >= at + HEARD_AFTER;
-        let open = known.filter(|one| !one.finished_at.is_some_and(heard));
+        let known = self.stored.values().filter(|one| self.has_record(vm, one));
+        let reported = |at: Duration| self.now >= at + PEER_REPORT_DELAY;
+        let open = known.filter(|one| !one.finished_at.is_some_and(reported));
         let open: u64 = open.map(|one| one.tokens).sum();
-        let known = |id: &JobId| self.standing.get(id).is_some_and(|one| self.knows(vm, one));
-        let told = self.late.iter().filter(|one| {
-            let heard = self.now >= one.began_at + self.delay(vm);
-            one.vm != vm && heard && one.began_at > self.started[one.vm]
+        let known = |id: &JobId| {
+            self.stored
+                .get(id)
+                .is_some_and(|one| self.has_record(vm, one))
+        };
+        let being_written = self.late_writes.iter().filter(|one| {
+            let reported = self.now >= one.started_at + self.delay(vm);
+            one.vm != vm && reported && one.started_at > self.started[one.vm]
         });
-        let told: u64 = told.map(|one| one.tokens).sum();
+        let being_written: u64 = being_written.map(|one| one.tokens).sum();
         BacklogView {
             limit_tokens: self.limit,
-            waiting_tokens: open + told + self.vms[vm].being_written(ROUTE, known),
+            waiting_tokens: open + being_written + self.vms[vm].being_written(ROUTE, known),
             vms: self.vms.len() as u32,
         }
     }
 
     fn submit(&mut self, vm: usize, tokens: u64) {
-        self.next += 1;
-        let id = job(self.next);
+        self.last_job += 1;
+        let id = job(self.last_job);
         let view = self.view(vm);
-        let let_in = match self.vms[vm].request_admission(self.now, ROUTE, &id, tokens, view) {
+        let admitted = match self.vms[vm].request_admission(self.now, ROUTE, &id, tokens, view) {
             AdmissionPath::Share => true,
             AdmissionPath::Full => false,
             AdmissionPath::Reserve => self.reserve(vm, &id, tokens, view),
         };
-        if !let_in {
-            self.seen.refused += 1;
+        if !admitted {
+            self.result.refused += 1;
             return;
         }
-        self.seen.let_in += 1;
+        self.result.admitted += 1;
         if self.rng.random_bool(0.05) {
             let after = Duration::from_millis(self.rng.random_range(100..6000));
-            self.late.push(Late {
+            self.late_writes.push(LateWrite {
                 vm,
                 id,
                 tokens,
-                began_at: self.now,
-                lands_at: self.now + after,
+                started_at: self.now,
+                effective_at: self.now + after,
             });
             return;
         }
@@ -151,37 +155,42 @@
     }
 
     fn reserve(&mut self, vm: usize, id: &JobId, tokens: u64, view: BacklogView) -> bool {
-        let asked = Reserved {
+        let reservation = Reserved {
             job: id.clone(),
             tokens,
         };
-        let held = self.reservations.rows.iter().map(|row| row.job.clone());
-        let known: HashSet<JobId> = held
-            .filter(|id| self.standing.get(id).is_some_and(|one| self.knows(vm, one)))
+        let reserved = self.reservations.rows.iter().map(|row| row.job.clone());
+        let known: HashSet<JobId> = reserved
+            .filter(|id| {
+                self.stored
+                    .get(id)
+                    .is_some_and(|job| self.has_record(vm, job))
+            })
             .collect();
         let before = self.reservations.clone();
-        let knows = |id: &JobId| known.contains(id);
-        let after = self.vms[vm].reserve(self.now, ROUTE, &before, &asked, view, knows, 1);
+        let has_record = |id: &JobId| known.contains(id);
+        let after =
+            self.vms[vm].reserve(self.now, ROUTE, &before, &reservation, view, has_record, 1);
         let Some(after) = after else {
             return false;
         };
         self.reservations = after;
-        self.vms[vm].reserved(self.now, ROUTE, &asked);
+        self.vms[vm].reserved(self.now, ROUTE, &reservation);
         true
     }
 
     fn accept(&mut self, id: JobId, vm: usize, tokens: u64) {
-        let one = Standing {
+        let job = StoredJob {
             vm,
             tokens,
             accepted_at: self.now,
             finished_at: None,
         };
-        self.standing.insert(id, one);
+        self.stored.insert(id, job);
         self.waiting += tokens;
-        self.seen.peak = self.seen.peak.max(self.waiting);
-        let part = self.waiting as f64 / self.limit as f64;
-        self.seen.most = self.seen.most.max(part);
+        self.result.peak_waiting = self.result.peak_waiting.max(self.waiting);
+        let ratio = self.waiting as f64 / self.limit as f64;
+        self.result.max_ratio = self.result.max_ratio.max(ratio);
     }
 
     fn step(&mut self, jobs: usize, done_tokens: u64) {
@@ -192,11 +201,11 @@
                 self.vms[vm].note_waiting(self.now, ROUTE, waiting);
             }
         }
-        let due = |one: &mut Late| one.lands_at <= self.now;
-        let due: Vec<Late> = self.late.extract_if(.., due).collect();
-        for one in due {
+        let due_writes = |write: &mut LateWrite| write.effective_at <= self.now;
+        let due_writes: Vec<LateWrite> = self.late_writes.extract_if(.., due_writes).collect();
+        for write in due_writes {
             if self.rng.random_bool(0.5) {
-                self.accept(one.id, one.vm, one.tokens);
+                self.accept(write.id, write.vm, write.tokens);
             }
         }
         for _ in 0..jobs {
@@ -209,21 +218,21 @@
 
     fn finish(&mut self, done_tokens: u64) {
         let now = self.now;
-        let old = |at: Duration| now >= at + HEARD_AFTER;
-        self.standing
-            .retain(|_, one| !one.finished_at.is_some_and(old));
+        let reported = |at: Duration| now >= at + PEER_REPORT_DELAY;
+        self.stored
+            .retain(|_, job| !job.finished_at.is_some_and(reported));
         let mut left = done_tokens * 10;
         if !(now.as_millis() / STEP.as_millis()).is_multiple_of(10) {
             return;
         }
-        let open = self.standing.values_mut();
-        for one in open.filter(|one| one.finished_at.is_none()) {
-            if left < one.tokens {
+        let open = self.stored.values_mut();
+        for job in open.filter(|job| job.finished_at.is_none()) {
+            if left < job.tokens {
                 return;
             }
-            left -= one.tokens;
-            self.waiting -= one.tokens;
-            one.finished_at = Some(now);
+            left -= job.tokens;
+            self.waiting -= job.tokens;
+            job.finished_at = Some(now);
         }
     }
 
@@ -233,78 +242,101 @@
     }
 }
 
-// A customer's jobs come sixty times as fast as usual, to all VMs at once. None has heard of what the
-// others took in the last second, and together they would take several times what may wait.
+// A workspace's jobs come at sixty times the usual rate, to all VMs at once. No VM has received the
+// reports of what the others admitted in the last second; without coordination they would exceed
+// the limit several times.
 #[test]
 fn flood_within_limit() {
     for vms in [1, 9, 51] {
-        let mut play = Play::new(vms as u64, vms);
+        let mut simulation = Simulation::new(vms as u64, vms);
         for _ in 0..1000 {
-            play.step(6, 50);
+            simulation.step(6, 50);
         }
-        assert!(play.seen.most <= 1.0, "{vms} VMs: {}", play.seen.most);
-        // What fits is taken: the limit is nearly used up, with any number of VMs.
         assert!(
-            play.seen.peak * 100 >= LIMIT * 90,
+            simulation.result.max_ratio <= 1.0,
+            "{vms} VMs: {}",
+            simulation.result.max_ratio
+        );
+        // Jobs that fit are admitted: the limit is nearly used up, with any number of VMs.
+        assert!(
+            simulation.result.peak_waiting * 100 >= LIMIT * 90,
             "{vms} VMs: {}",
-            play.seen.peak
+            simulation.result.peak_waiting
         );
     }
 }
 
-// Jobs that fit are not refused, however they fall on the VMs.
+// Jobs that fit are not refused, however they are distributed over the VMs.
 #[test]
 fn usual_load_taken() {
     for vms in [1, 9, 330] {
-        let mut play = Play::new(3, vms);
+        let mut simulation = Simulation::new(3, vms);
         for step in 0..500 {
-            play.step(usize::from(step % 10 == 0), 100);
+            simulation.step(usize::from(step % 10 == 0), 100);
         }
-        assert_eq!(play.seen.refused, 0, "{vms} VMs");
-        assert!(play.seen.let_in >= 50);
+        assert_eq!(simulation.result.refused, 0, "{vms} VMs");
+        assert!(simulation.result.admitted >= 50);
     }
 }
 
-// One job as large as two fifths of the limit comes to one of 330 VMs while nothing waits. Its even share
-// is far smaller, and the job fits all the same.
+// One job of two fifths of the limit comes to one of 330 VMs while nothing waits. The VM's even
+// share is far smaller, but the job is admitted through a reservation.
 #[test]
 fn large_job_fits() {
     let mut backlog = Backlog::default();
     let view = view(0, 330);
-    let asked = Reserved {
+    let reservation = Reserved {
         job: job(1),
         tokens: 40_000,
     };
-    let way = backlog.request_admission(Duration::ZERO, ROUTE, &asked.job, asked.tokens, view);
-    assert_eq!(way, AdmissionPath::Reserve);
+    let path = backlog.request_admission(
+        Duration::ZERO,
+        ROUTE,
+        &reservation.job,
+        reservation.tokens,
+        view,
+    );
+    assert_eq!(path, AdmissionPath::Reserve);
     let before = Reservations::default();
-    let after = backlog.reserve(Duration::ZERO, ROUTE, &before, &asked, view, |_| false, 1);
-    assert_eq!(after.unwrap().rows, [asked]);
+    let after = backlog.reserve(
+        Duration::ZERO,
+        ROUTE,
+        &before,
+        &reservation,
+        view,
+        |_| false,
+        1,
+    );
+    assert_eq!(after.unwrap().rows, [reservation]);
 }
 
-// The operator lowers the limit far below what waits. Nothing more comes in until there is room again.
+// The operator lowers the limit far below the waiting tokens. No job is admitted until the waiting
+// tokens fall below the new limit.
 #[test]
 fn limit_lowered() {
-    let mut play = Play::new(5, 9);
+    let mut simulation = Simulation::new(5, 9);
     for _ in 0..400 {
-        play.step(3, 300);
+        simulation.step(3, 300);
     }
-    play.limit = LIMIT / 10;
-    let before = play.seen.let_in;
-    while play.waiting > play.limit {
-        play.step(3, 300);
-        assert_eq!(play.seen.let_in, before);
+    simulation.limit = LIMIT / 10;
+    let before = simulation.result.admitted;
+    while simulation.waiting > simulation.limit {
+        simulation.step(3, 300);
+        assert_eq!(simulation.result.admitted, before);
     }
 }
 
-// A caller is told when to come back by how fast waiting tokens are finished, and no sooner or later than
-// is of use.
+// The retry time of a refused caller is computed from the rate of finished tokens, within its
+// bounds.
 #[test]
 fn return_by_pace() {
     let now = Duration::from_secs(50);
     let mut backlog = Backlog::default();
     let full = view(LIMIT, 9);
-    assert_eq!(backlog.return_after(now, ROUTE, 1000, full), RETURN_MAX);
+    assert_eq!(
+        backlog.return_after(now, ROUTE, 1000, full),
+        RETRY_AFTER_MAX
+    );
     backlog.finished(now, ROUTE, 8_000);
     let soon = backlog.return_after(now, ROUTE, 1_000, full);
     assert_eq!(soon, Duration::from_secs(2));
@@ -313,18 +345,19 @@
 }
 
 quickcheck! {
-    // Whatever comes when, to whichever VM, with VMs that start anew and writes that take effect late: at
-    // no acceptance does more wait than the limit and half of the overage that operators allow for.
+    // For any order of events, with VMs that restart and writes that take effect late: at each
+    // acceptance, waiting tokens exceed the limit by at most half of the overage that operators
+    // allow for.
     fn never_over(seed: u64, vms: u8, rate: u8) -> bool {
         let vms = usize::from(vms % 40) + 1;
-        let mut play = Play::new(seed, vms);
+        let mut simulation = Simulation::new(seed, vms);
         for step in 0..300 {
-            play.step(usize::from(rate % 8), 500);
+            simulation.step(usize::from(rate % 8), 500);
             if step % 100 == 99 {
-                let vm = play.rng.random_range(0..vms);
-                play.restart(vm);
+                let vm = simulation.rng.random_range(0..vms);
+                simulation.restart(vm);
             }
         }
-        play.seen.most <= 1.05
+        simulation.result.max_ratio <= 1.05
     }
 }
