--- a/src/decide/batch.rs
+++ b/src/decide/batch.rs
@@ -1,7 +1,8 @@
-//! Batch work of one VM: claims chunks, hands out their items, yields, commits.
+//! Batch work of one VM: claims chunks, dispatches their items, preempts them for online requests,
+//! and commits results.
 //!
 //! The host carries out the actions and reports back with events. Each chunk that this VM works on
-//! is a [`run::Run`]; what it only knows of is a [`place::Sighting`].
+//! is a [`run::Run`]; other chunks are tracked as [`place::ObservedChunk`].
 
 pub mod dispatch;
 pub mod place;
@@ -13,7 +14,7 @@
 use bytes::Bytes;
 use rand::rngs::SmallRng;
 
-use self::dispatch::Slot;
+use self::dispatch::EndpointSlots;
 use self::place::{BatchPeers, Candidate, ObservedChunk};
 use self::run::Run;
 use super::commit::Answer;
@@ -23,8 +24,8 @@
 
 /// Chunks that one VM works on at once; bounds its memory.
 pub const RUNS_MAX: usize = 4;
-/// Time between two looks at whether a job can be ended, by the VM that answers for it.
-pub const FINISH_LOOK: Duration = Duration::from_secs(10);
+/// Interval at which the responsible VM checks whether a job can be ended.
+pub const FINISH_CHECK_INTERVAL: Duration = Duration::from_secs(10);
 
 /// One chunk of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -33,19 +34,19 @@
     pub chunk: u32,
 }
 
-/// One try of one item, numbered within this process.
+/// One attempt of one item, numbered within this process.
 pub type AttemptId = u64;
 
-/// A job that has not ended, as the host sees it.
+/// A job that has not ended, as passed by the host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct JobView {
     pub id: JobId,
     pub workspace: Name,
-    /// Services that its items ask for.
+    /// Services that its items need.
     pub services: Vec<ServiceId>,
     pub chunks: u32,
     pub state: JobState,
-    /// Monotonic.
+    /// On the monotonic clock.
     pub deadline: Duration,
 }
 
@@ -57,23 +58,23 @@
     pub work: ItemWork,
 }
 
-/// What is to be done for an item.
+/// What has to be done for an item.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ItemWork {
     Run {
         service: ServiceId,
         idempotent: bool,
     },
-    /// The line can never be done.
+    /// The line is invalid and can never be run.
     Bad { code: &'static str, message: String },
 }
 
-/// How one try of an item ended.
+/// How one attempt of an item ended.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AttemptEnd {
     /// The whole line of the output file.
     Done(Bytes),
-    /// The endpoint refused the item itself; asking again would bring the same.
+    /// The endpoint rejected the item itself; a retry would be rejected again.
     Rejected { code: &'static str, message: String },
     /// The endpoint failed.
     Failed {
@@ -81,17 +82,17 @@
         died: bool,
         detail: String,
     },
-    /// Cancelled at our own wish.
+    /// Cancelled by this VM.
     Cancelled,
 }
 
-/// What the host tells.
+/// Input from the host.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// All jobs that have not ended.
     Jobs(Vec<JobView>),
     Crew(BatchPeers),
-    /// Batch items that each endpoint of which this VM is home may have now.
+    /// Current batch items limit of each endpoint that is assigned to this VM.
     Windows(Vec<(EndpointId, ServiceId, u32)>),
     /// Weight of each workspace among those with batch work.
     Shares(HashMap<Name, f64>),
@@ -128,11 +129,11 @@
         flight: AttemptId,
         end: AttemptEnd,
     },
-    /// Whether to take on nothing more and hand over what is held.
+    /// Whether to take no new work and hand over current chunks.
     Leave(bool),
 }
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Read {
@@ -166,7 +167,7 @@
     Cancel {
         flight: AttemptId,
     },
-    /// See whether all chunks of the job have ended, and end it.
+    /// Check whether all chunks of the job have ended, and end it.
     Finish {
         job: JobId,
     },
@@ -185,11 +186,11 @@
     pub reads: u64,
 }
 
-/// One item under way.
+/// One item attempt in flight.
 #[derive(Debug, Clone)]
 pub struct InFlightAttempt {
     pub key: ChunkKey,
-    /// The run that started it; a later run of the same chunk takes nothing from it.
+    /// The run that started it; a later run of the same chunk ignores its result.
     pub run: u64,
     pub item: u32,
     pub endpoint: EndpointId,
@@ -199,12 +200,12 @@
     pub cancelled: bool,
 }
 
-/// A job as it is known here.
+/// A job as known to this VM.
 #[derive(Debug, Clone)]
 pub struct Job {
     pub view: JobView,
     pub seen_at: Duration,
-    next_look: Duration,
+    next_check: Duration,
 }
 
 /// The state of batch work at one VM.
@@ -213,24 +214,24 @@
     owner: OwnerId,
     pub jobs: BTreeMap<JobId, Job>,
     pub runs: BTreeMap<ChunkKey, Run>,
-    pub slots: BTreeMap<EndpointId, Slot>,
+    pub slots: BTreeMap<EndpointId, EndpointSlots>,
     pub flights: BTreeMap<AttemptId, InFlightAttempt>,
     pub totals: Totals,
-    sightings: BTreeMap<ChunkKey, ObservedChunk>,
-    /// Chunks that this VM may try for. Invariant: made from `jobs` and `crew`.
+    observed: BTreeMap<ChunkKey, ObservedChunk>,
+    /// Chunks that this VM may claim. Invariant: derived from `jobs` and `peers`.
     candidates: BTreeMap<ChunkKey, Candidate>,
-    claim_at: Duration,
+    next_claim_at: Duration,
     claim_soon: bool,
-    crew: BatchPeers,
+    peers: BatchPeers,
     shares: HashMap<Name, f64>,
-    leaving: bool,
+    draining: bool,
     next_run: u64,
-    next_flight: AttemptId,
+    next_attempt: AttemptId,
     rng: SmallRng,
 }
 
 impl Batch {
-    /// A process that knows of no job; `owner` must be drawn anew at each start.
+    /// A process without any jobs; `owner` must be drawn at random at each start.
     pub fn new(owner: OwnerId, rng: SmallRng) -> Batch {
         Batch {
             owner,
@@ -239,28 +240,28 @@
             slots: BTreeMap::new(),
             flights: BTreeMap::new(),
             totals: Totals::default(),
-            sightings: BTreeMap::new(),
+            observed: BTreeMap::new(),
             candidates: BTreeMap::new(),
-            claim_at: Duration::ZERO,
+            next_claim_at: Duration::ZERO,
             claim_soon: true,
-            crew: BatchPeers::default(),
+            peers: BatchPeers::default(),
             shares: HashMap::new(),
-            leaving: false,
+            draining: false,
             next_run: 1,
-            next_flight: 1,
+            next_attempt: 1,
             rng,
         }
     }
 
-    /// Takes one event and does what has become due.
+    /// Applies one event, then does the work that is due.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         let from = out.len();
         match event {
-            Event::Jobs(views) => self.take_jobs(now, views, out),
-            Event::Crew(crew) => self.take_crew(crew),
-            Event::Windows(windows) => self.take_windows(windows),
+            Event::Jobs(views) => self.apply_jobs(now, views, out),
+            Event::Crew(peers) => self.apply_peers(peers),
+            Event::Windows(windows) => self.apply_windows(windows),
             Event::Shares(shares) => self.shares = shares,
-            Event::Read { key, run, found } => self.take_read(now, key, run, found, out),
+            Event::Read { key, run, found } => self.apply_read(now, key, run, found, out),
             Event::Written { key, run, answer } => {
                 self.with_run(now, &key, run, out, |r, now, out| {
                     r.written(now, answer, out)
@@ -278,36 +279,39 @@
             Event::StoreFailed { key, run } => {
                 self.with_run(now, &key, run, out, |r, now, _| r.store_failed(now));
             }
-            Event::Ended { flight, end } => self.flight_ended(now, flight, end),
-            Event::Leave(leaving) => self.leaving = leaving,
+            Event::Ended {
+                flight: attempt,
+                end,
+            } => self.attempt_ended(now, attempt, end),
+            Event::Leave(draining) => self.draining = draining,
         }
         self.advance(now, out);
-        self.count(&out[from..]);
+        self.count_actions(&out[from..]);
     }
 
-    /// Does what has become due by the time alone.
+    /// Does the work that is due by time alone.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
         let from = out.len();
         self.advance(now, out);
-        self.count(&out[from..]);
+        self.count_actions(&out[from..]);
     }
 
-    /// This process as an owner of chunks.
+    /// The owner id of this process in chunk records.
     pub fn owner(&self) -> OwnerId {
         self.owner
     }
 
-    /// Whether this VM hands over what it holds.
+    /// Whether this VM is handing over its chunks.
     pub fn leaving(&self) -> bool {
-        self.leaving
+        self.draining
     }
 
-    /// Whether nothing is held any more.
+    /// Whether this VM works on no chunk.
     pub fn idle(&self) -> bool {
         self.runs.is_empty()
     }
 
-    fn count(&mut self, actions: &[Action]) {
+    fn count_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Write { .. } => self.totals.writes += 1,
@@ -322,43 +326,43 @@
         self.stop_ended_jobs(now, out);
         self.run_all(now, out);
         self.drop_finished(out);
-        self.yield_slots(out);
-        if !self.leaving {
+        self.preempt_excess(out);
+        if !self.draining {
             self.dispatch(now, out);
-            self.claim(now, out);
-            self.look_at_jobs(now, out);
+            self.claim_chunks(now, out);
+            self.check_jobs(now, out);
         }
     }
 
-    fn take_jobs(&mut self, now: Duration, views: Vec<JobView>, out: &mut Vec<Action>) {
+    fn apply_jobs(&mut self, now: Duration, views: Vec<JobView>, out: &mut Vec<Action>) {
         self.claim_soon = true;
         let mut old = std::mem::take(&mut self.jobs);
         let mut changed = Vec::new();
         for view in views {
             let known = old.remove(&view.id);
             let seen_at = known.as_ref().map_or(now, |job| job.seen_at);
-            let next_look = known
+            let next_check = known
                 .as_ref()
-                .map_or(now + FINISH_LOOK, |job| job.next_look);
+                .map_or(now + FINISH_CHECK_INTERVAL, |job| job.next_check);
             if known.is_none_or(|job| job.view.services != view.services) {
                 changed.push(view.id.clone());
             }
             let job = Job {
                 view,
                 seen_at,
-                next_look,
+                next_check,
             };
             self.jobs.insert(job.view.id.clone(), job);
         }
         changed.iter().for_each(|job| self.rank_job(job));
-        // Jobs that are no longer told have ended: their runs can commit nothing of use.
+        // Jobs missing from the list have ended: their runs can commit nothing of use.
         for job in old.keys() {
             self.drop_job(job, out);
         }
     }
 
-    fn take_crew(&mut self, crew: BatchPeers) {
-        self.crew = crew;
+    fn apply_peers(&mut self, peers: BatchPeers) {
+        self.peers = peers;
         self.claim_soon = true;
         self.candidates.clear();
         let jobs: Vec<JobId> = self.jobs.keys().cloned().collect();
@@ -367,7 +371,7 @@
 
     fn drop_job(&mut self, job: &JobId, out: &mut Vec<Action>) {
         self.candidates.retain(|key, _| key.job != *job);
-        self.sightings.retain(|key, _| key.job != *job);
+        self.observed.retain(|key, _| key.job != *job);
         let keys: Vec<ChunkKey> = self
             .runs
             .keys()
@@ -381,34 +385,35 @@
 
     fn drop_run(&mut self, key: &ChunkKey, out: &mut Vec<Action>) {
         self.runs.remove(key);
-        self.cancel_flights(key, out);
+        self.cancel_attempts(key, out);
     }
 
-    /// Cancels what is under way for a chunk; items that may not be repeated go on to their end.
-    fn cancel_flights(&mut self, key: &ChunkKey, out: &mut Vec<Action>) {
-        for (id, flight) in &mut self.flights {
-            if flight.key == *key && !flight.cancelled && flight.idempotent {
-                flight.cancelled = true;
+    /// Cancels the attempts in flight of a chunk; items that may not be repeated run to their end.
+    fn cancel_attempts(&mut self, key: &ChunkKey, out: &mut Vec<Action>) {
+        for (id, attempt) in &mut self.flights {
+            if attempt.key == *key && !attempt.cancelled && attempt.idempotent {
+                attempt.cancelled = true;
                 out.push(Action::Cancel { flight: *id });
             }
         }
     }
 
-    fn take_windows(&mut self, windows: Vec<(EndpointId, ServiceId, u32)>) {
+    fn apply_windows(&mut self, windows: Vec<(EndpointId, ServiceId, u32)>) {
         for slot in self.slots.values_mut() {
             slot.window = 0;
-            slot.home = false;
+            slot.assigned = false;
         }
         for (endpoint, service, window) in windows {
             let slot = self
                 .slots
                 .entry(endpoint)
-                .or_insert_with(|| Slot::new(service));
+                .or_insert_with(|| EndpointSlots::new(service));
             slot.service = service;
             slot.window = window;
-            slot.home = true;
+            slot.assigned = true;
         }
-        self.slots.retain(|_, slot| slot.home || slot.in_flight > 0);
+        self.slots
+            .retain(|_, slot| slot.assigned || slot.in_flight > 0);
     }
 
     fn with_run(
@@ -419,13 +424,13 @@
         out: &mut Vec<Action>,
         step: impl FnOnce(&mut Run, Duration, &mut Vec<Action>),
     ) {
-        // Answers to a run that was dropped since are late, and say nothing of its successor.
+        // An answer to a run that was dropped is late and does not apply to its successor.
         if let Some(run) = self.runs.get_mut(key).filter(|run| run.id == id) {
             step(run, now, out);
         }
     }
 
-    fn take_read(
+    fn apply_read(
         &mut self,
         now: Duration,
         key: ChunkKey,
@@ -434,8 +439,8 @@
         out: &mut Vec<Action>,
     ) {
         if id == 0 {
-            if let Some(sighting) = self.sightings.get_mut(&key) {
-                sighting.read(now, found);
+            if let Some(observed) = self.observed.get_mut(&key) {
+                observed.read(now, found);
             }
             return;
         }
@@ -444,11 +449,11 @@
         });
     }
 
-    fn flight_ended(&mut self, now: Duration, id: AttemptId, end: AttemptEnd) {
-        let Some(flight) = self.flights.remove(&id) else {
+    fn attempt_ended(&mut self, now: Duration, id: AttemptId, end: AttemptEnd) {
+        let Some(attempt) = self.flights.remove(&id) else {
             return;
         };
-        if let Some(slot) = self.slots.get_mut(&flight.endpoint) {
+        if let Some(slot) = self.slots.get_mut(&attempt.endpoint) {
             slot.in_flight = slot.in_flight.saturating_sub(1);
         }
         match end {
@@ -456,8 +461,8 @@
             AttemptEnd::Cancelled => self.totals.yielded += 1,
             _ => self.totals.failed += 1,
         }
-        if let Some(run) = self.runs.get_mut(&flight.key) {
-            run.ended(now, &flight, end, &mut self.rng);
+        if let Some(run) = self.runs.get_mut(&attempt.key) {
+            run.attempt_ended(now, &attempt, end, &mut self.rng);
         }
     }
 
@@ -465,49 +470,49 @@
         let mut stopped = Vec::new();
         for (key, run) in &mut self.runs {
             let job = self.jobs.get(&key.job);
-            let over = job.is_none_or(|job| job.stopping(now));
-            if over && !run.stopping() {
-                run.stop(run::Stop::Job);
+            let job_stopped = job.is_none_or(|job| job.stopping(now));
+            if job_stopped && !run.is_stopping() {
+                run.stop(run::StopReason::Job);
                 stopped.push(key.clone());
             }
-            if self.leaving && !run.stopping() {
-                run.stop(run::Stop::Leave);
+            if self.draining && !run.is_stopping() {
+                run.stop(run::StopReason::HandOver);
             }
         }
         for key in stopped {
-            self.cancel_flights(&key, out);
+            self.cancel_attempts(&key, out);
         }
     }
 
     fn run_all(&mut self, now: Duration, out: &mut Vec<Action>) {
         let slots = &self.slots;
-        let home = |service| {
+        let assigned = |service| {
             slots
                 .values()
-                .any(|slot| slot.home && slot.service == service)
+                .any(|slot| slot.assigned && slot.service == service)
         };
         for (key, run) in &mut self.runs {
-            run.note_homes(now, home);
-            let flying = self.flights.values().any(|flight| flight.key == *key);
-            run.advance(now, flying, out);
+            run.note_assignments(now, assigned);
+            let in_flight = self.flights.values().any(|attempt| attempt.key == *key);
+            run.advance(now, in_flight, out);
         }
     }
 
     fn drop_finished(&mut self, out: &mut Vec<Action>) {
-        let over: Vec<ChunkKey> = self
+        let ended: Vec<ChunkKey> = self
             .runs
             .iter()
-            .filter(|(_, run)| run.over())
+            .filter(|(_, run)| run.has_ended())
             .map(|(key, _)| key.clone())
             .collect();
-        for key in over {
+        for key in ended {
             let Some(run) = self.runs.remove(&key) else {
                 continue;
             };
             self.claim_soon = true;
-            self.cancel_flights(&key, out);
-            let sighting = self.sightings.entry(key.clone()).or_default();
-            sighting.after_run(&run);
+            self.cancel_attempts(&key, out);
+            let observed = self.observed.entry(key.clone()).or_default();
+            observed.after_run(&run);
             match run.final_state() {
                 Some(ChunkState::Complete | ChunkState::Stopped) => {
                     out.push(Action::Finish { job: key.job });
@@ -518,13 +523,13 @@
         }
     }
 
-    fn look_at_jobs(&mut self, now: Duration, out: &mut Vec<Action>) {
+    fn check_jobs(&mut self, now: Duration, out: &mut Vec<Action>) {
         for (id, job) in &mut self.jobs {
-            if now < job.next_look {
+            if now < job.next_check {
                 continue;
             }
-            job.next_look = now + FINISH_LOOK;
-            if self.crew.answers_for(id, &job.view.services) {
+            job.next_check = now + FINISH_CHECK_INTERVAL;
+            if self.peers.is_responsible_for(id, &job.view.services) {
                 out.push(Action::Finish { job: id.clone() });
             }
         }
--- a/src/decide/batch/dispatch.rs
+++ b/src/decide/batch/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which item goes to which endpoint next, and which are called back.
+//! Assigns ready items to endpoints, and preempts items when a window shrinks.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -6,27 +6,27 @@
 use super::{Action, AttemptId, Batch, ChunkKey, InFlightAttempt};
 use crate::id::{EndpointId, Name, ServiceId};
 
-/// A job that has less time left than this goes before the workspaces' shares.
-pub const URGENT: Duration = Duration::from_secs(60);
-const SHARE_DEFAULT: f64 = 0.05;
+/// A job with less time left than this takes precedence over workspace shares.
+pub const URGENT_TIME_LEFT: Duration = Duration::from_secs(60);
+const WORKSPACE_SHARE_DEFAULT: f64 = 0.05;
 
-/// What this VM may use of one endpoint.
+/// Slots of one endpoint that this VM may use for batch items.
 #[derive(Debug, Clone)]
-pub struct Slot {
+pub struct EndpointSlots {
     pub service: ServiceId,
-    /// Whether this VM is the endpoint's home, though the window may be closed.
-    pub home: bool,
-    /// Items that may be there now.
+    /// Whether the endpoint is assigned to this VM; its window may still be 0.
+    pub assigned: bool,
+    /// Batch items that may run there now.
     pub window: u32,
     pub in_flight: u32,
 }
 
-impl Slot {
-    /// A slot that is closed.
-    pub fn new(service: ServiceId) -> Slot {
-        Slot {
+impl EndpointSlots {
+    /// An endpoint with a closed window.
+    pub fn new(service: ServiceId) -> EndpointSlots {
+        EndpointSlots {
             service,
-            home: false,
+            assigned: false,
             window: 0,
             in_flight: 0,
         }
@@ -34,41 +34,42 @@
 }
 
 impl Batch {
-    /// Calls items back from endpoints whose window has shrunk, the youngest first: least is lost.
-    pub(super) fn yield_slots(&mut self, out: &mut Vec<Action>) {
-        let over: Vec<(EndpointId, u32)> = self
+    /// Preempts items at endpoints whose window has shrunk, the most recently started first, since
+    /// they lose the least work.
+    pub(super) fn preempt_excess(&mut self, out: &mut Vec<Action>) {
+        let over_limit: Vec<(EndpointId, u32)> = self
             .slots
             .iter()
             .filter(|(_, slot)| slot.in_flight > slot.window)
             .map(|(id, slot)| (*id, slot.in_flight - slot.window))
             .collect();
-        for (endpoint, excess) in over {
-            let at = |f: &InFlightAttempt| f.endpoint == endpoint;
-            let called = self
+        for (endpoint, excess) in over_limit {
+            let at = |attempt: &InFlightAttempt| attempt.endpoint == endpoint;
+            let cancelling = self
                 .flights
                 .values()
-                .filter(|f| at(f) && f.cancelled)
+                .filter(|attempt| at(attempt) && attempt.cancelled)
                 .count();
-            let mut young: Vec<(Duration, AttemptId)> = self
+            let mut newest_first: Vec<(Duration, AttemptId)> = self
                 .flights
                 .iter()
-                .filter(|(_, f)| at(f) && f.idempotent && !f.cancelled)
-                .map(|(id, f)| (f.started_at, *id))
+                .filter(|(_, attempt)| at(attempt) && attempt.idempotent && !attempt.cancelled)
+                .map(|(id, attempt)| (attempt.started_at, *id))
                 .collect();
-            young.sort_by_key(|flight| std::cmp::Reverse(*flight));
-            for (_, id) in young
+            newest_first.sort_by_key(|attempt| std::cmp::Reverse(*attempt));
+            for (_, id) in newest_first
                 .into_iter()
-                .take((excess as usize).saturating_sub(called))
+                .take((excess as usize).saturating_sub(cancelling))
             {
-                if let Some(flight) = self.flights.get_mut(&id) {
-                    flight.cancelled = true;
+                if let Some(attempt) = self.flights.get_mut(&id) {
+                    attempt.cancelled = true;
                     out.push(Action::Cancel { flight: id });
                 }
             }
         }
     }
 
-    /// Hands out items while windows are open.
+    /// Starts items while windows are open.
     pub(super) fn dispatch(&mut self, now: Duration, out: &mut Vec<Action>) {
         let open: Vec<EndpointId> = self
             .slots
@@ -79,9 +80,9 @@
         if open.is_empty() || self.runs.is_empty() {
             return;
         }
-        let mut used = self.use_by_workspace();
+        let mut used = self.attempts_by_workspace();
         let mut open = open;
-        // One item an endpoint in turn, so that all fill evenly.
+        // One item per endpoint and pass, so that all endpoints fill evenly.
         while !open.is_empty() {
             open.retain(|endpoint| {
                 let started = self.start_one(now, *endpoint, &mut used, out);
@@ -90,10 +91,10 @@
         }
     }
 
-    fn use_by_workspace(&self) -> HashMap<Name, f64> {
+    fn attempts_by_workspace(&self) -> HashMap<Name, f64> {
         let mut used = HashMap::new();
-        for flight in self.flights.values() {
-            if let Some(job) = self.jobs.get(&flight.key.job) {
+        for attempt in self.flights.values() {
+            if let Some(job) = self.jobs.get(&attempt.key.job) {
                 *used.entry(job.view.workspace.clone()).or_default() += 1.0;
             }
         }
@@ -110,33 +111,33 @@
         let Some(service) = self.slots.get(&endpoint).map(|slot| slot.service) else {
             return false;
         };
-        // An item that was under way when an endpoint died may have killed it. One such item at a
-        // time goes to an endpoint, so that a second death tells which one it was.
-        let suspects = !self
+        // An item that was running when an endpoint died may have caused it. An endpoint gets only
+        // one such item at a time, so that a second death identifies the item.
+        let allow_suspect = !self
             .flights
             .values()
-            .any(|f| f.endpoint == endpoint && f.suspect);
-        let Some(key) = self.next_chunk(now, service, suspects, used) else {
+            .any(|attempt| attempt.endpoint == endpoint && attempt.suspect);
+        let Some(key) = self.next_chunk(now, service, allow_suspect, used) else {
             return false;
         };
         let Some(run) = self.runs.get_mut(&key) else {
             return false;
         };
-        let Some(item) = run.take(service, suspects) else {
+        let Some(item) = run.take_ready(service, allow_suspect) else {
             return false;
         };
-        let flight = InFlightAttempt {
+        let attempt = InFlightAttempt {
             key: key.clone(),
             run: run.id,
             item,
             endpoint,
-            idempotent: run.idempotent(item),
-            suspect: run.suspect(item),
+            idempotent: run.is_idempotent(item),
+            suspect: run.is_suspect(item),
             started_at: now,
             cancelled: false,
         };
-        let id = self.next_flight;
-        self.next_flight += 1;
+        let id = self.next_attempt;
+        self.next_attempt += 1;
         out.push(Action::Start {
             flight: id,
             epoch: run.epoch(),
@@ -144,10 +145,10 @@
             item,
             endpoint,
         });
-        if let Some(job) = self.jobs.get(&flight.key.job) {
+        if let Some(job) = self.jobs.get(&attempt.key.job) {
             *used.entry(job.view.workspace.clone()).or_default() += 1.0;
         }
-        self.flights.insert(id, flight);
+        self.flights.insert(id, attempt);
         if let Some(slot) = self.slots.get_mut(&endpoint) {
             slot.in_flight += 1;
         }
@@ -160,26 +161,26 @@
         &self,
         now: Duration,
         service: ServiceId,
-        suspects: bool,
+        allow_suspect: bool,
         used: &HashMap<Name, f64>,
     ) -> Option<ChunkKey> {
         let rank = |key: &ChunkKey| {
             let job = self.jobs.get(&key.job)?;
             let deadline = job.view.deadline;
-            if now + URGENT >= deadline {
+            if now + URGENT_TIME_LEFT >= deadline {
                 return Some((0.0, deadline));
             }
             let share = self
                 .shares
                 .get(&job.view.workspace)
                 .copied()
-                .unwrap_or(SHARE_DEFAULT);
+                .unwrap_or(WORKSPACE_SHARE_DEFAULT);
             let used = used.get(&job.view.workspace).copied().unwrap_or(0.0);
             Some(((used + 1.0) / share.max(f64::EPSILON), deadline))
         };
         self.runs
             .iter()
-            .filter(|(_, run)| run.has_ready(service, suspects))
+            .filter(|(_, run)| run.has_ready(service, allow_suspect))
             .filter_map(|(key, _)| Some((rank(key)?, key)))
             .min_by(|((a, a_by), a_key), ((b, b_by), b_key)| {
                 a.total_cmp(b).then(a_by.cmp(b_by)).then(a_key.cmp(b_key))
--- a/src/decide/batch/place.rs
+++ b/src/decide/batch/place.rs
@@ -1,4 +1,4 @@
-//! Which VM claims which chunk, and when.
+//! Decides which VM claims which chunk, and when.
 
 use std::time::Duration;
 
@@ -9,112 +9,112 @@
 use crate::decide::jobs::{ChunkRecord, ChunkState};
 use crate::id::{self, ranked, DomainId, JobId, OwnerId, Revision, ServiceId, VmId};
 
-/// How much later than the first failure domain each further one tries for a chunk.
-pub const DOMAIN_DELAY: Duration = Duration::from_secs(8);
-/// How much later than the first VM of a failure domain each further one tries.
-pub const VM_DELAY: Duration = Duration::from_millis(700);
-/// A chunk whose owner is in another failure domain, and whose record has not moved for so long,
-/// is taken over.
-pub const STALE_AFTER: Duration = Duration::from_secs(90);
-/// VMs of a failure domain that try for one chunk: a number that does not grow with the fleet, so
-/// that neither do the calls on the platform for a chunk.
-pub const CLAIMANTS: usize = 3;
-/// Time between two looks at a chunk that somebody else owns.
-pub const LOOK_AGAIN: Duration = Duration::from_secs(15);
-/// Time between two looks for chunks to claim.
-pub const CLAIM_PAUSE: Duration = Duration::from_millis(100);
-/// Time after which a claim that failed for want of the platform is tried again.
-pub const TRY_AGAIN: Duration = Duration::from_secs(1);
+/// Claim delay of a failure domain, multiplied by its rank for the chunk.
+pub const CLAIM_DELAY_PER_DOMAIN: Duration = Duration::from_secs(8);
+/// Claim delay of a VM, multiplied by its rank within its failure domain.
+pub const CLAIM_DELAY_PER_VM: Duration = Duration::from_millis(700);
+/// A chunk whose owner is in another failure domain is taken over when its record has not changed
+/// for this long.
+pub const REMOTE_OWNER_STALE_AFTER: Duration = Duration::from_secs(90);
+/// VMs of a failure domain that may claim one chunk. The number does not grow with the fleet, so
+/// that neither do the store calls for a chunk.
+pub const CLAIMANTS_PER_DOMAIN: usize = 3;
+/// Interval between reads of a chunk record that another VM owns.
+pub const RECORD_READ_INTERVAL: Duration = Duration::from_secs(15);
+/// Interval between searches for chunks to claim.
+pub const CLAIM_INTERVAL: Duration = Duration::from_millis(100);
+/// Time after which a failed store call is retried.
+pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Who can work off the items of one service.
+/// The VMs and failure domains that can run the items of one service.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceWorkers {
     pub service: ServiceId,
-    /// VMs of the own failure domain that are home of an endpoint of it.
+    /// VMs of the local failure domain to which an endpoint of the service is assigned.
     pub vms: Vec<VmId>,
-    /// Failure domains that have endpoints of it.
+    /// Failure domains with endpoints of the service.
     pub domains: Vec<DomainId>,
 }
 
-/// The VMs that share batch work, as this VM sees them.
+/// The VMs that share batch work, as seen by this VM.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BatchPeers {
     pub own: VmId,
     pub own_domain: DomainId,
-    /// VMs of the own failure domain whose batch process is up, this one included when it is.
+    /// VMs of the local failure domain whose batch process is up, including this one if it is.
     pub vms: Vec<VmId>,
-    /// Their batch processes.
+    /// Owner ids of their batch processes.
     pub owners: Vec<OwnerId>,
     pub hands: Vec<ServiceWorkers>,
 }
 
 impl BatchPeers {
-    /// The place of this VM's failure domain among those that can work on a chunk, and its own
-    /// among the VMs of that domain; `None` when it can't work on it.
+    /// Rank of the local failure domain among those that can work on a chunk, and of this VM within
+    /// it; `None` when this VM can't work on the chunk.
     ///
-    /// Only VMs that are home of an endpoint of the job's services count: a chunk that another one
-    /// claimed would wait there for slots that never come.
+    /// Only VMs with an assigned endpoint of the job's services count: a chunk claimed by another
+    /// VM would wait there for slots that it never gets.
     fn rank(&self, key: &ChunkKey, services: &[ServiceId]) -> Option<(usize, usize)> {
         let hash = id::of(&key.job).wrapping_add(u64::from(key.chunk));
-        let hands = || {
+        let workers = || {
             self.hands
                 .iter()
-                .filter(|hands| services.contains(&hands.service))
+                .filter(|workers| services.contains(&workers.service))
         };
-        let domains = hands().flat_map(|hands| hands.domains.iter().copied());
-        let vms = hands().flat_map(|hands| hands.vms.iter().copied());
-        let place = |ids: Vec<u64>, own: u64| ids.iter().position(|id| *id == own);
-        let domain = place(ranked(hash, domains), self.own_domain)?;
-        let vm = place(ranked(hash, vms), self.own)?;
+        let domains = workers().flat_map(|workers| workers.domains.iter().copied());
+        let vms = workers().flat_map(|workers| workers.vms.iter().copied());
+        let position = |ids: Vec<u64>, own: u64| ids.iter().position(|id| *id == own);
+        let domain = position(ranked(hash, domains), self.own_domain)?;
+        let vm = position(ranked(hash, vms), self.own)?;
         Some((domain, vm))
     }
 
-    /// Whether this VM sees to it that a job is ended.
-    pub fn answers_for(&self, job: &JobId, services: &[ServiceId]) -> bool {
+    /// Whether this VM is responsible for ending a job.
+    pub fn is_responsible_for(&self, job: &JobId, services: &[ServiceId]) -> bool {
         let key = ChunkKey {
             job: job.clone(),
             chunk: u32::MAX,
         };
         match self.rank(&key, services) {
             Some(rank) => rank == (0, 0),
-            // Nobody can work on it: all look, so that a cancelled job still ends.
+            // No VM can work on it: all check it, so that a cancelled job still ends.
             None => !self
                 .hands
                 .iter()
-                .any(|hands| services.contains(&hands.service)),
+                .any(|workers| services.contains(&workers.service)),
         }
     }
 }
 
-/// What is known of a chunk that this VM does not work on.
+/// State of a chunk that this VM does not work on.
 #[derive(Debug, Clone, Default)]
 pub struct ObservedChunk {
     record: Option<(Revision, ChunkRecord)>,
     /// When the record was first seen at this revision.
-    moved_at: Duration,
-    next_look: Duration,
+    revision_seen_at: Duration,
+    next_read_at: Duration,
     reading: bool,
     /// The record was read at least once.
-    looked: bool,
+    was_read: bool,
     ended: bool,
 }
 
 impl ObservedChunk {
-    /// Takes a read of the record.
+    /// Applies a read of the record.
     pub fn read(&mut self, now: Duration, found: Option<Option<(Revision, ChunkRecord)>>) {
         self.reading = false;
-        self.looked = true;
-        self.next_look = now + LOOK_AGAIN;
+        self.was_read = true;
+        self.next_read_at = now + RECORD_READ_INTERVAL;
         match found {
-            None => self.next_look = now + TRY_AGAIN,
+            None => self.next_read_at = now + RETRY_AFTER,
             Some(None) => {
-                // Nobody has it: claim it now.
+                // The chunk has no record: claim it now.
                 self.record = None;
-                self.next_look = now;
+                self.next_read_at = now;
             }
             Some(Some((revision, record))) => {
                 if self.record.as_ref().map(|(old, _)| *old) != Some(revision) {
-                    self.moved_at = now;
+                    self.revision_seen_at = now;
                 }
                 self.ended = record.state != ChunkState::Open;
                 self.record = Some((revision, record));
@@ -122,50 +122,50 @@
         }
     }
 
-    /// Takes what a run that is over knew last.
+    /// Takes over the last known state of a run that has ended.
     pub fn after_run(&mut self, run: &Run) {
         self.ended = run
             .final_state()
             .is_some_and(|state| state != ChunkState::Open);
         self.record = None;
-        self.next_look = run.retry_at();
-        // A record that another VM wrote is read before it is claimed again.
+        self.next_read_at = run.retry_at();
+        // A record that another VM wrote is read before the chunk is claimed again.
         self.reading = false;
         if run.was_lost() {
-            self.record = run.seen().cloned();
-            self.moved_at = run.retry_at();
+            self.record = run.standing().cloned();
+            self.revision_seen_at = run.retry_at();
         }
     }
 
-    /// Whether the owner of the record is thought to be gone. A mistake costs only work: the owner
-    /// loses its next write.
-    fn owner_gone(&self, now: Duration, crew: &BatchPeers) -> bool {
+    /// Whether the owner of the record is presumed dead. A wrong answer only costs duplicate work:
+    /// the owner's next write fails.
+    fn is_owner_gone(&self, now: Duration, peers: &BatchPeers) -> bool {
         let Some((_, record)) = &self.record else {
             return true;
         };
         if record.owner == 0 {
             return true;
         }
-        if record.owner_domain == crew.own_domain {
-            return !crew.owners.contains(&record.owner);
+        if record.owner_domain == peers.own_domain {
+            return !peers.owners.contains(&record.owner);
         }
-        // Of another failure domain only the record tells.
-        now >= self.moved_at + STALE_AFTER
+        // For a remote failure domain only the record shows whether the owner is alive.
+        now >= self.revision_seen_at + REMOTE_OWNER_STALE_AFTER
     }
 }
 
-/// A chunk that this VM may try for.
+/// A chunk that this VM may claim.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
-    /// Place of the own failure domain, and of this VM in it.
-    place: (usize, usize),
-    /// Nobody can work on it: it is only to be ended when its job is stopped.
-    stranded: bool,
+    /// Rank of the local failure domain, and of this VM within it.
+    rank: (usize, usize),
+    /// No VM can work on it: the chunk is only claimed to end it when its job is stopped.
+    without_workers: bool,
 }
 
 impl Batch {
-    /// Ranks this VM for all chunks of a job. Done when the job or the crew changes, not at each
-    /// event: with thousands of chunks that alone would cost more than a node may spend.
+    /// Ranks this VM for all chunks of a job. Called when the job or the peers change, not on each
+    /// event: with thousands of chunks that alone would take more time than a VM can spend.
     pub(super) fn rank_job(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get(id) else {
             return;
@@ -176,14 +176,14 @@
                 job: id.clone(),
                 chunk,
             };
-            let candidate = match self.crew.rank(&key, services) {
-                Some(place) if place.1 < CLAIMANTS => Candidate {
-                    place,
-                    stranded: false,
+            let candidate = match self.peers.rank(&key, services) {
+                Some(rank) if rank.1 < CLAIMANTS_PER_DOMAIN => Candidate {
+                    rank,
+                    without_workers: false,
                 },
-                None if self.crew.answers_for(id, services) => Candidate {
-                    place: (0, 0),
-                    stranded: true,
+                None if self.peers.is_responsible_for(id, services) => Candidate {
+                    rank: (0, 0),
+                    without_workers: true,
                 },
                 _ => {
                     self.candidates.remove(&key);
@@ -194,14 +194,14 @@
         }
     }
 
-    /// Claims chunks while there is room for their items.
-    pub(super) fn claim(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if !self.claim_soon && now < self.claim_at {
+    /// Claims chunks while this VM has capacity for their items.
+    pub(super) fn claim_chunks(&mut self, now: Duration, out: &mut Vec<Action>) {
+        if !self.claim_soon && now < self.next_claim_at {
             return;
         }
         self.claim_soon = false;
-        self.claim_at = now + CLAIM_PAUSE;
-        if !self.crew.vms.contains(&self.crew.own) {
+        self.next_claim_at = now + CLAIM_INTERVAL;
+        if !self.peers.vms.contains(&self.peers.own) {
             return;
         }
         let mut wanted: Vec<(Duration, &ChunkKey, bool)> = Vec::new();
@@ -209,10 +209,10 @@
             let Some(job) = self.jobs.get(&key.job) else {
                 continue;
             };
-            if self.runs.contains_key(key) || !self.due(now, job, key, *candidate) {
+            if self.runs.contains_key(key) || !self.is_claim_due(now, job, key, *candidate) {
                 continue;
             }
-            wanted.push((job.view.deadline, key, candidate.place == (0, 0)));
+            wanted.push((job.view.deadline, key, candidate.rank == (0, 0)));
         }
         wanted.sort();
         let wanted: Vec<(ChunkKey, bool)> = wanted
@@ -224,46 +224,50 @@
                 continue;
             };
             let stopping = job.stopping(now);
-            if stopping || self.has_appetite(&job.view.services) {
-                self.claim_one(now, key, first, stopping, out);
+            if stopping || self.needs_items(&job.view.services) {
+                self.claim_chunk(now, key, first, stopping, out);
             }
         }
     }
 
-    /// Whether this VM could use more items of these services than it holds.
-    fn has_appetite(&self, services: &[ServiceId]) -> bool {
+    /// Whether this VM could use more items of these services than it has waiting.
+    fn needs_items(&self, services: &[ServiceId]) -> bool {
         let slots = self
             .slots
             .values()
             .filter(|slot| services.contains(&slot.service));
         let window: u32 = slots.map(|slot| slot.window).sum();
-        let waiting: usize = self.runs.values().map(|run| run.waiting()).sum();
+        let waiting: usize = self.runs.values().map(|run| run.waiting_items()).sum();
         self.runs.len() < RUNS_MAX && waiting < 2 * window as usize
     }
 
-    /// Whether to try for a chunk now.
-    fn due(&self, now: Duration, job: &Job, key: &ChunkKey, candidate: Candidate) -> bool {
+    /// Whether a claim of the chunk is due.
+    fn is_claim_due(&self, now: Duration, job: &Job, key: &ChunkKey, candidate: Candidate) -> bool {
         let stopping = job.stopping(now);
-        if candidate.stranded && !stopping {
+        if candidate.without_workers && !stopping {
             return false;
         }
         if !stopping && self.runs.len() >= RUNS_MAX {
             return false;
         }
-        let (domain, vm) = candidate.place;
-        let at = match self.sightings.get(key) {
-            Some(sighting) if sighting.ended || sighting.reading => return false,
-            None => job.seen_at + DOMAIN_DELAY * domain as u32 + VM_DELAY * vm as u32,
-            Some(sighting) if sighting.record.is_none() => sighting.next_look,
-            Some(sighting) if sighting.owner_gone(now, &self.crew) => {
-                sighting.next_look.min(sighting.moved_at + TRY_AGAIN)
+        let (domain, vm) = candidate.rank;
+        let at = match self.observed.get(key) {
+            Some(observed) if observed.ended || observed.reading => return false,
+            None => {
+                job.seen_at
+                    + CLAIM_DELAY_PER_DOMAIN * domain as u32
+                    + CLAIM_DELAY_PER_VM * vm as u32
             }
-            Some(sighting) => sighting.next_look,
+            Some(observed) if observed.record.is_none() => observed.next_read_at,
+            Some(observed) if observed.is_owner_gone(now, &self.peers) => observed
+                .next_read_at
+                .min(observed.revision_seen_at + RETRY_AFTER),
+            Some(observed) => observed.next_read_at,
         };
         now >= at
     }
 
-    fn claim_one(
+    fn claim_chunk(
         &mut self,
         now: Duration,
         key: ChunkKey,
@@ -271,28 +275,28 @@
         stopping: bool,
         out: &mut Vec<Action>,
     ) {
-        let sighting = self.sightings.entry(key.clone()).or_default();
-        let owned = sighting.record.is_some() && !sighting.owner_gone(now, &self.crew);
-        if owned || (!first && !sighting.looked) {
-            // It may have moved since it was last seen, or the first claimant has it: a read costs
-            // the platform less than a write that fails.
-            sighting.reading = true;
+        let observed = self.observed.entry(key.clone()).or_default();
+        let owned = observed.record.is_some() && !observed.is_owner_gone(now, &self.peers);
+        if owned || (!first && !observed.was_read) {
+            // The record may have changed since it was last seen, or the first claimant may have
+            // the chunk: a read costs the store less than a failed write.
+            observed.reading = true;
             out.push(Action::Read { key, run: 0 });
             return;
         }
         let id = self.next_run;
         self.next_run += 1;
         let nonce = rand::Rng::random(&mut self.rng);
-        let record = sighting.record.take();
+        let record = observed.record.take();
         let Some(run) = Run::claim(
             key.clone(),
             id,
-            (self.owner, self.crew.own_domain),
+            (self.owner, self.peers.own_domain),
             record,
             nonce,
             stopping,
         ) else {
-            sighting.ended = true;
+            observed.ended = true;
             return;
         };
         self.totals.chunks_claimed += 1;
--- a/src/decide/batch/run/items.rs
+++ b/src/decide/batch/run/items.rs
@@ -1,23 +1,23 @@
-//! The items of a run: read, handed out, ended.
+//! The items of a run: loading, dispatch, results.
 
 use std::time::Duration;
 
 use super::*;
 
 impl Run {
-    /// Takes the lines of the chunk.
+    /// Applies the loaded lines of the chunk.
     pub fn loaded(&mut self, now: Duration, planned: Vec<PlannedItem>) {
-        if !matches!(self.phase, Phase::Loading { .. }) {
+        if !matches!(self.phase, RunPhase::Loading { .. }) {
             return;
         }
-        self.phase = Phase::Running;
+        self.phase = RunPhase::Running;
         let record = self.record.clone();
         let (done, started) = match &record {
             Some(record) => (&record.done, &record.started),
             None => return,
         };
-        for (at, planned) in planned.into_iter().enumerate() {
-            let item = at as u32;
+        for (index, planned) in planned.into_iter().enumerate() {
+            let item = index as u32;
             let (service, idempotent) = match planned.work {
                 ItemWork::Run {
                     service,
@@ -30,7 +30,7 @@
                 custom_id,
                 service,
                 idempotent,
-                tries: 0,
+                attempts: 0,
                 deaths: 0,
             });
             if done.contains(item) {
@@ -38,12 +38,12 @@
             }
             self.open += 1;
             match planned.work {
-                ItemWork::Bad { code, message } => self.fail(now, item, code, &message),
-                // The owner before marked it and left no result: it may have run.
+                ItemWork::Bad { code, message } => self.fail_item(now, item, code, &message),
+                // The previous owner marked it as started and saved no result: it may have run.
                 ItemWork::Run {
                     idempotent: false, ..
                 } if started.contains(item) => {
-                    self.fail(
+                    self.fail_item(
                         now,
                         item,
                         "outcome_unknown",
@@ -58,20 +58,24 @@
         }
     }
 
-    /// The lines could not be read.
+    /// Schedules another read of the lines after a failure.
     pub fn load_failed(&mut self, now: Duration) {
-        if let Phase::Loading { asked, not_before } = &mut self.phase {
-            *asked = false;
-            *not_before = now + TRY_AGAIN;
+        if let RunPhase::Loading {
+            requested,
+            not_before,
+        } = &mut self.phase
+        {
+            *requested = false;
+            *not_before = now + RETRY_AFTER;
         }
     }
 
     pub(super) fn make_ready(&mut self, item: u32) {
-        let row = &self.items[item as usize];
-        let lane = self.ready.entry(row.service).or_default();
-        match row.deaths {
-            0 => lane.fresh.push_back(item),
-            _ => lane.suspect.push_back(item),
+        let state = &self.items[item as usize];
+        let queue = self.ready.entry(state.service).or_default();
+        match state.deaths {
+            0 => queue.fresh.push_back(item),
+            _ => queue.suspect.push_back(item),
         }
     }
 
@@ -82,49 +86,51 @@
         self.oldest_result.get_or_insert(now);
     }
 
-    fn fail(&mut self, now: Duration, item: u32, code: &str, message: &str) {
+    fn fail_item(&mut self, now: Duration, item: u32, code: &str, message: &str) {
         let custom_id = &self.items[item as usize].custom_id;
         let line = error_line(&self.key, item, custom_id, code, message);
         self.finish_item(now, item, line, true);
     }
 
-    /// Takes the end of one try.
-    pub fn ended(
+    /// Applies the end of one attempt.
+    pub fn attempt_ended(
         &mut self,
         now: Duration,
-        flight: &InFlightAttempt,
+        attempt: &InFlightAttempt,
         end: AttemptEnd,
         rng: &mut impl Rng,
     ) {
-        if flight.run != self.id || self.over() {
+        if attempt.run != self.id || self.has_ended() {
             return;
         }
-        let item = flight.item;
+        let item = attempt.item;
         match end {
             AttemptEnd::Done(line) => self.finish_item(now, item, line, false),
-            AttemptEnd::Rejected { code, message } => self.fail(now, item, code, &message),
-            AttemptEnd::Cancelled if flight.idempotent => {
-                let lane = self
+            AttemptEnd::Rejected { code, message } => self.fail_item(now, item, code, &message),
+            AttemptEnd::Cancelled if attempt.idempotent => {
+                let queue = self
                     .ready
                     .entry(self.items[item as usize].service)
                     .or_default();
-                match flight.suspect {
-                    true => lane.suspect.push_front(item),
-                    false => lane.fresh.push_front(item),
+                match attempt.suspect {
+                    true => queue.suspect.push_front(item),
+                    false => queue.fresh.push_front(item),
                 }
             }
-            AttemptEnd::Cancelled => self.fail(now, item, "outcome_unknown", "cancelled under way"),
+            AttemptEnd::Cancelled => {
+                self.fail_item(now, item, "outcome_unknown", "cancelled under way")
+            }
             AttemptEnd::Failed {
                 reach,
                 died,
                 detail,
             } => {
-                self.try_failed(now, item, reach, died, &detail, rng);
+                self.attempt_failed(now, item, reach, died, &detail, rng);
             }
         }
     }
 
-    fn try_failed(
+    fn attempt_failed(
         &mut self,
         now: Duration,
         item: u32,
@@ -133,25 +139,25 @@
         detail: &str,
         rng: &mut impl Rng,
     ) {
-        let row = &mut self.items[item as usize];
-        row.tries += 1;
-        row.deaths += u32::from(died);
-        let (tries, deaths) = (row.tries, row.deaths);
-        let untouched = matches!(reach, AttemptStage::NotSent | AttemptStage::Refused);
-        if !row.idempotent && !untouched {
-            self.fail(now, item, "outcome_unknown", detail);
-        } else if deaths >= DEATHS_MAX {
-            self.fail(
+        let state = &mut self.items[item as usize];
+        state.attempts += 1;
+        state.deaths += u32::from(died);
+        let (attempts, deaths) = (state.attempts, state.deaths);
+        let not_executed = matches!(reach, AttemptStage::NotSent | AttemptStage::Refused);
+        if !state.idempotent && !not_executed {
+            self.fail_item(now, item, "outcome_unknown", detail);
+        } else if deaths >= ENDPOINT_DEATHS_MAX {
+            self.fail_item(
                 now,
                 item,
                 "quarantined",
                 "two endpoints died while it was under way",
             );
-        } else if tries >= TRIES_MAX {
-            self.fail(now, item, "endpoint_failed", detail);
+        } else if attempts >= ATTEMPTS_MAX {
+            self.fail_item(now, item, "endpoint_failed", detail);
         } else {
-            let pause = BACKOFF * 2u32.pow(tries - 1);
-            let due = now + pause.mul_f64(rng.random_range(0.5..1.5));
+            let delay = RETRY_BACKOFF * 2u32.pow(attempts - 1);
+            let due = now + delay.mul_f64(rng.random_range(0.5..1.5));
             self.delayed.insert((due, item));
         }
     }
--- a/src/decide/batch/run/writes.rs
+++ b/src/decide/batch/run/writes.rs
@@ -5,70 +5,71 @@
 use super::*;
 
 impl Run {
-    /// Takes the answer to a write.
+    /// Applies the answer to a write.
     pub fn written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
-        if let Some(writing) = self.writing_mut() {
-            writing.asked = false;
+        if let Some(writing) = self.pending_write_mut() {
+            writing.requested = false;
             writing.commit.written(answer);
-            self.settle(now, out);
+            self.continue_write(now, out);
         }
     }
 
-    /// Takes a read of the record, which tells whether a write took effect.
+    /// Applies a read of the record, which shows whether a write took effect.
     pub fn read(
         &mut self,
         now: Duration,
         found: Option<Option<(Revision, ChunkRecord)>>,
         out: &mut Vec<Action>,
     ) {
-        let Some(writing) = self.writing_mut() else {
+        let Some(writing) = self.pending_write_mut() else {
             return;
         };
         let nonce = writing.record.nonce;
-        let seen = found.as_ref().map(|standing| {
+        let observed = found.as_ref().map(|standing| {
             standing
                 .as_ref()
                 .map(|(revision, record)| (*revision, record.nonce == nonce))
         });
-        writing.asked = false;
-        writing.commit.read(seen);
+        writing.requested = false;
+        writing.commit.read(observed);
         if let Some(Some(standing)) = found {
-            self.seen = Some(standing);
+            self.standing = Some(standing);
         }
-        self.settle(now, out);
+        self.continue_write(now, out);
     }
 
-    fn writing_mut(&mut self) -> Option<&mut Writing> {
+    fn pending_write_mut(&mut self) -> Option<&mut PendingWrite> {
         match (&mut self.phase, &mut self.checkpoint) {
-            (Phase::Claiming(writing), _) => Some(writing),
-            (Phase::Running, Some(Checkpoint::Writing { writing })) => Some(writing),
+            (RunPhase::Claiming(writing), _) => Some(writing),
+            (RunPhase::Running, Some(Checkpoint::Writing { writing })) => Some(writing),
             _ => None,
         }
     }
 
-    /// Goes on after a step of a write.
-    fn settle(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let claiming = matches!(self.phase, Phase::Claiming(_));
-        let Some(writing) = self.writing_mut() else {
+    /// Continues after a step of a write.
+    fn continue_write(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let claiming = matches!(self.phase, RunPhase::Claiming(_));
+        let Some(writing) = self.pending_write_mut() else {
             return;
         };
         match writing.commit.step() {
             Step::Write | Step::Read => {
-                writing.not_before = now + writing.commit.pause(BACKOFF);
-                self.ask(now, out);
+                writing.not_before = now + writing.commit.pause(RETRY_BACKOFF);
+                self.request_next_step(now, out);
             }
             Step::Won(revision) => {
                 let record = writing.record.clone();
-                self.won(now, revision, record);
+                self.write_won(now, revision, record);
             }
-            // Without the platform a claim is dropped; results are kept until it is back.
+            // While the store is unavailable a claim is dropped, but results are kept until it is
+            // back.
             Step::Away if claiming => self.give_up(now),
             Step::Away => {
                 writing.commit = Commit::new(writing.expect());
-                writing.not_before = now + TRY_AGAIN;
+                writing.not_before = now + RETRY_AFTER;
             }
             Step::Lost => {
-                // Another VM owns the chunk by now: nothing that this run still holds counts.
+                // Another VM owns the chunk now: nothing that this run still has counts.
                 self.lost = true;
                 self.give_up(now);
             }
@@ -76,46 +77,50 @@
     }
 
     fn give_up(&mut self, now: Duration) {
-        self.phase = Phase::Over;
-        self.retry_at = now + TRY_AGAIN;
+        self.phase = RunPhase::Ended;
+        self.retry_at = now + RETRY_AFTER;
     }
 
-    fn won(&mut self, now: Duration, revision: Revision, record: ChunkRecord) {
+    fn write_won(&mut self, now: Duration, revision: Revision, record: ChunkRecord) {
         self.revision = revision;
         let ended = record.state != ChunkState::Open;
         let handed_over = record.owner == 0;
         self.record = Some(record);
-        match std::mem::replace(&mut self.phase, Phase::Over) {
-            Phase::Claiming(_) if !ended => {
-                self.phase = Phase::Loading {
-                    asked: false,
+        match std::mem::replace(&mut self.phase, RunPhase::Ended) {
+            RunPhase::Claiming(_) if !ended => {
+                self.phase = RunPhase::Loading {
+                    requested: false,
                     not_before: now,
                 };
             }
-            Phase::Running if !ended && !handed_over => {
-                self.phase = Phase::Running;
+            RunPhase::Running if !ended && !handed_over => {
+                self.phase = RunPhase::Running;
                 self.checkpoint = None;
-                for item in std::mem::take(&mut self.marking) {
+                for item in std::mem::take(&mut self.being_marked) {
                     self.make_ready(item);
                 }
             }
-            _ if handed_over => self.retry_at = now + LEFT_ALONE,
-            _ => self.retry_at = now + TRY_AGAIN,
+            _ if handed_over => self.retry_at = now + HANDED_OVER_RETRY_AFTER,
+            _ => self.retry_at = now + RETRY_AFTER,
         }
     }
 
-    /// Does what is due; `flying` tells whether items are still under way.
-    pub fn advance(&mut self, now: Duration, flying: bool, out: &mut Vec<Action>) {
-        if let Phase::Loading { asked, not_before } = &mut self.phase {
-            if !*asked && now >= *not_before {
-                *asked = true;
+    /// Does what is due; `in_flight` is whether attempts are still in flight.
+    pub fn advance(&mut self, now: Duration, in_flight: bool, out: &mut Vec<Action>) {
+        if let RunPhase::Loading {
+            requested,
+            not_before,
+        } = &mut self.phase
+        {
+            if !*requested && now >= *not_before {
+                *requested = true;
                 out.push(Action::Load {
                     key: self.key.clone(),
                     run: self.id,
                 });
             }
         }
-        if matches!(self.phase, Phase::Running) {
+        if matches!(self.phase, RunPhase::Running) {
             while let Some((due, item)) = self.delayed.first().copied() {
                 if due > now {
                     break;
@@ -124,28 +129,28 @@
                 self.make_ready(item);
             }
             if self.checkpoint.is_none() {
-                self.start_checkpoint(now, flying);
+                self.start_checkpoint(now, in_flight);
             }
         }
-        self.ask(now, out);
+        self.request_next_step(now, out);
     }
 
-    /// Asks for the next step of a write or a store that is due.
-    fn ask(&mut self, now: Duration, out: &mut Vec<Action>) {
+    /// Requests the next step of a checkpoint or write, if due.
+    fn request_next_step(&mut self, now: Duration, out: &mut Vec<Action>) {
         if let Some(Checkpoint::Storing {
             lines,
-            asked,
+            requested,
             not_before,
             ..
         }) = &mut self.checkpoint
         {
-            if !*asked && now >= *not_before {
-                *asked = true;
-                let of = |error: bool| {
+            if !*requested && now >= *not_before {
+                *requested = true;
+                let lines_of = |error: bool| {
                     let lines = lines.values().filter(|result| result.error == error);
                     lines.map(|result| result.line.clone()).collect()
                 };
-                let (output, errors) = (of(false), of(true));
+                let (output, errors) = (lines_of(false), lines_of(true));
                 out.push(Action::Store {
                     key: self.key.clone(),
                     run: self.id,
@@ -155,15 +160,15 @@
             }
         }
         let (key, run) = (self.key.clone(), self.id);
-        let Some(writing) = self.writing_mut() else {
+        let Some(writing) = self.pending_write_mut() else {
             return;
         };
-        if writing.asked || now < writing.not_before {
+        if writing.requested || now < writing.not_before {
             return;
         }
         match writing.commit.step() {
             Step::Write => {
-                writing.asked = true;
+                writing.requested = true;
                 let (expect, record) = (writing.expect(), writing.record.clone());
                 out.push(Action::Write {
                     key,
@@ -173,47 +178,48 @@
                 });
             }
             Step::Read => {
-                writing.asked = true;
+                writing.requested = true;
                 out.push(Action::Read { key, run });
             }
             _ => {}
         }
     }
 
-    fn start_checkpoint(&mut self, now: Duration, flying: bool) {
-        let fin = !flying && (self.open == 0 || self.stop.is_some());
-        let aged = self
+    fn start_checkpoint(&mut self, now: Duration, in_flight: bool) {
+        let is_final = !in_flight && (self.open == 0 || self.stop.is_some());
+        let is_old = self
             .oldest_result
             .is_some_and(|at| now >= at + CHECKPOINT_AGE);
-        let full = self.results.len() >= CHECKPOINT_ITEMS;
-        let mark = self.stop.is_none() && !self.unmarked.is_empty() && self.marked_ready() == 0;
-        if !fin && !aged && !full && !mark {
+        let is_full = self.results.len() >= CHECKPOINT_ITEMS;
+        let needs_marks =
+            self.stop.is_none() && !self.unmarked.is_empty() && self.marked_ready_count() == 0;
+        if !is_final && !is_old && !is_full && !needs_marks {
             return;
         }
-        if mark {
-            let count = self.unmarked.len().min(STARTED_WINDOW);
-            self.marking = self.unmarked.drain(..count).collect();
+        if needs_marks {
+            let count = self.unmarked.len().min(STARTED_MARKS_PER_WRITE);
+            self.being_marked = self.unmarked.drain(..count).collect();
         }
         let lines = std::mem::take(&mut self.results);
         self.oldest_result = None;
         if lines.is_empty() {
-            self.write_checkpoint(&lines, Vec::new(), fin);
+            self.write_checkpoint(&lines, Vec::new(), is_final);
         } else {
             self.checkpoint = Some(Checkpoint::Storing {
                 lines,
-                asked: false,
+                requested: false,
                 not_before: now,
-                fin,
+                is_final,
             });
         }
     }
 
-    /// Non-repeatable items that are marked and still wait.
-    fn marked_ready(&self) -> usize {
+    /// Non-repeatable items that are marked as started and still wait.
+    fn marked_ready_count(&self) -> usize {
         let waiting = self
             .ready
             .values()
-            .flat_map(|lane| lane.fresh.iter().chain(&lane.suspect));
+            .flat_map(|queue| queue.fresh.iter().chain(&queue.suspect));
         waiting
             .filter(|item| !self.items[**item as usize].idempotent)
             .count()
@@ -223,7 +229,7 @@
         &mut self,
         lines: &BTreeMap<u32, ItemResult>,
         segments: Vec<ResultSegment>,
-        fin: bool,
+        is_final: bool,
     ) {
         let Some(mut record) = self.record.clone() else {
             return;
@@ -235,62 +241,68 @@
                 false => record.counts.completed += 1,
             }
         }
-        mark(&mut record.started, &self.marking);
+        insert_all(&mut record.started, &self.being_marked);
         record.segments.extend(segments);
         self.nonce = self.nonce.wrapping_add(1);
         record.nonce = self.nonce;
         // A stop that came while results were being stored waits for the next checkpoint, which
-        // holds what has ended since.
-        let whole = record.done.len() as usize == self.items.len();
-        if whole {
+        // includes the items that have ended since.
+        let is_complete = record.done.len() as usize == self.items.len();
+        if is_complete {
             record.state = ChunkState::Complete;
-        } else if fin {
-            // Marked and still here: no byte of them went out, so whoever goes on may run them.
-            for lane in self.ready.values() {
-                lane.fresh
+        } else if is_final {
+            // Marked but still waiting: no byte of them was sent, so the next owner may run them.
+            for queue in self.ready.values() {
+                queue
+                    .fresh
                     .iter()
-                    .chain(&lane.suspect)
+                    .chain(&queue.suspect)
                     .for_each(|item| record.started.remove(*item));
             }
             self.delayed
                 .iter()
                 .for_each(|(_, item)| record.started.remove(*item));
             match self.stop {
-                Some(Stop::Leave) => record.owner = 0,
+                Some(StopReason::HandOver) => record.owner = 0,
                 _ => record.state = ChunkState::Stopped,
             }
         }
-        let writing = Writing::new(self.revision, record);
+        let writing = PendingWrite::new(self.revision, record);
         self.checkpoint = Some(Checkpoint::Writing { writing });
     }
 
-    /// Takes where the results of a checkpoint lie.
+    /// Applies the locations of a checkpoint's stored results.
     pub fn stored(&mut self, segments: Vec<ResultSegment>, out: &mut Vec<Action>) {
-        let Some(Checkpoint::Storing { lines, fin, .. }) = self.checkpoint.take() else {
+        let Some(Checkpoint::Storing {
+            lines, is_final, ..
+        }) = self.checkpoint.take()
+        else {
             return;
         };
-        self.write_checkpoint(&lines, segments, fin);
-        self.ask(Duration::MAX, out);
+        self.write_checkpoint(&lines, segments, is_final);
+        self.request_next_step(Duration::MAX, out);
     }
 
-    /// The results could not be stored.
+    /// Schedules a retry after the results could not be stored.
     pub fn store_failed(&mut self, now: Duration) {
         if let Some(Checkpoint::Storing {
-            asked, not_before, ..
+            requested,
+            not_before,
+            ..
         }) = &mut self.checkpoint
         {
-            *asked = false;
-            *not_before = now + TRY_AGAIN;
+            *requested = false;
+            *not_before = now + RETRY_AFTER;
         }
     }
 }
 
-impl Writing {
-    pub(super) fn new(expect: Revision, record: ChunkRecord) -> Writing {
-        Writing {
+impl PendingWrite {
+    pub(super) fn new(expect: Revision, record: ChunkRecord) -> PendingWrite {
+        PendingWrite {
             commit: Commit::new(expect),
             record,
-            asked: false,
+            requested: false,
             not_before: Duration::ZERO,
         }
     }
@@ -300,7 +312,7 @@
     }
 }
 
-fn mark(started: &mut ItemSet, items: &[u32]) {
+fn insert_all(started: &mut ItemSet, items: &[u32]) {
     for item in items {
         started.insert(*item);
     }
--- a/tests/batch_machine.rs
+++ b/tests/batch_machine.rs
@@ -1,4 +1,5 @@
-//! Batch work under random failures: the deciding functions against a fake store and endpoints.
+//! Batch work under random failures, simulated: the decision code against a fake store and fake
+//! endpoints.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -24,32 +25,32 @@
 const STEP: Duration = Duration::from_millis(100);
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// What happens besides the work itself.
+/// Probabilities per call or step, and single events.
 #[derive(Clone, Copy)]
 struct Faults {
     lose_answer: f64,
-    away: f64,
+    store_unavailable: f64,
     endpoint_fails: f64,
     kill: f64,
     pause: f64,
     partition: f64,
     cancel_at: Option<u32>,
     non_repeatable: bool,
-    /// The item that kills its endpoint, in the first chunk.
+    /// The item in the first chunk that kills its endpoint.
     poison: Option<u32>,
 }
 
 struct Vm {
     batch: Batch,
-    /// Answers on their way, with the step at which they arrive.
+    /// Events in transit, with the step at which they arrive.
     inbox: Vec<(u32, Event)>,
     paused_until: u32,
-    hidden_until: u32,
-    /// Jobs and VMs as it was last told.
-    told: Option<(Vec<JobView>, BatchPeers)>,
+    partitioned_until: u32,
+    /// Jobs and peers as last passed to it.
+    last_passed: Option<(Vec<JobView>, BatchPeers)>,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     faults: Faults,
     step: u32,
@@ -59,9 +60,9 @@
     segments: HashMap<String, Vec<Bytes>>,
     job: JobRecord,
     vms: Vec<Vm>,
-    /// Runs of each item, by chunk and item.
+    /// Number of runs of each item, by chunk and item.
     executions: HashMap<(u32, u32), u32>,
-    /// Counts of results as the job's end froze them.
+    /// The job record at its end.
     ended: Option<JobRecord>,
     cancelled_at: Option<u32>,
     started_late: u32,
@@ -71,8 +72,8 @@
     STEP * step
 }
 
-impl World {
-    fn new(seed: u64, faults: Faults, vms: usize) -> World {
+impl Simulation {
+    fn new(seed: u64, faults: Faults, vms: usize) -> Simulation {
         let job = JobRecord {
             id: "batch_1".into(),
             workspace: "terrasse".into(),
@@ -90,7 +91,7 @@
             },
             nonce: 1,
         };
-        let mut world = World {
+        let mut simulation = Simulation {
             rng: SmallRng::seed_from_u64(seed),
             faults,
             step: 0,
@@ -105,21 +106,21 @@
             started_late: 0,
         };
         for _ in 0..vms {
-            let vm = world.fresh_vm();
-            world.vms.push(vm);
+            let vm = simulation.new_vm();
+            simulation.vms.push(vm);
         }
-        world
+        simulation
     }
 
-    fn fresh_vm(&mut self) -> Vm {
+    fn new_vm(&mut self) -> Vm {
         let owner = self.rng.random();
         let batch = Batch::new(owner, SmallRng::seed_from_u64(self.rng.random()));
         Vm {
             batch,
             inbox: Vec::new(),
             paused_until: 0,
-            hidden_until: 0,
-            told: None,
+            partitioned_until: 0,
+            last_passed: None,
         }
     }
 
@@ -127,8 +128,8 @@
         self.rng.random_bool(chance)
     }
 
-    fn put(&mut self, key: &ChunkKey, expect: u64, record: ChunkRecord) -> Answer {
-        if self.chance(self.faults.away) {
+    fn write_chunk(&mut self, key: &ChunkKey, expect: u64, record: ChunkRecord) -> Answer {
+        if self.chance(self.faults.store_unavailable) {
             return Answer::Away;
         }
         let standing = self.chunks.get(key).map_or(0, |(revision, _)| *revision);
@@ -159,7 +160,7 @@
         }
     }
 
-    fn store(&mut self, lines: Vec<Bytes>, errors: bool) -> ResultSegment {
+    fn store_segment(&mut self, lines: Vec<Bytes>, errors: bool) -> ResultSegment {
         let digest = format!("{}-{}", self.segments.len(), errors);
         let count = lines.len() as u32;
         self.segments.insert(digest.clone(), lines);
@@ -197,8 +198,8 @@
         let at = self.step + delay;
         let event = match action {
             Action::Read { key, run } => {
-                let away = self.chance(self.faults.away);
-                let found = (!away).then(|| self.chunks.get(&key).cloned());
+                let store_unavailable = self.chance(self.faults.store_unavailable);
+                let found = (!store_unavailable).then(|| self.chunks.get(&key).cloned());
                 Event::Read { key, run, found }
             }
             Action::Write {
@@ -207,13 +208,13 @@
                 expect,
                 record,
             } => {
-                let answer = self.put(&key, expect, record);
+                let answer = self.write_chunk(&key, expect, record);
                 Event::Written { key, run, answer }
             }
             Action::Load { key, run } => Event::Loaded {
                 key,
                 run,
-                items: self.plan(),
+                items: self.planned_items(),
             },
             Action::Store {
                 key,
@@ -224,7 +225,7 @@
                 let mut segments = Vec::new();
                 for (lines, errors) in [(output, false), (errors, true)] {
                     if !lines.is_empty() {
-                        segments.push(self.store(lines, errors));
+                        segments.push(self.store_segment(lines, errors));
                     }
                 }
                 Event::Stored { key, run, segments }
@@ -245,7 +246,8 @@
                 return;
             }
             Action::Cancel { flight } => {
-                // A try whose endpoint died ends so, whatever was asked of it meanwhile.
+                // An attempt whose endpoint died ends as failed even if it was cancelled in the
+                // meantime.
                 let waiting = |event: &Event| match event {
                     Event::Ended { flight: f, end } => {
                         *f == flight && !matches!(end, AttemptEnd::Failed { died: true, .. })
@@ -272,7 +274,7 @@
         self.vms[vm].inbox.push((at, event));
     }
 
-    /// All items under way at the VM's endpoint fail with it.
+    /// All attempts in flight at the VM's endpoint fail with it.
     fn endpoint_dies(&mut self, vm: usize, at: u32, flight: u64) {
         let died = || AttemptEnd::Failed {
             reach: AttemptStage::MaybeSent,
@@ -293,7 +295,7 @@
         ));
     }
 
-    fn plan(&self) -> Vec<PlannedItem> {
+    fn planned_items(&self) -> Vec<PlannedItem> {
         let idempotent = !self.faults.non_repeatable;
         (0..ITEMS)
             .map(|item| {
@@ -331,25 +333,25 @@
         }
         for vm in 0..self.vms.len() {
             if self.chance(self.faults.kill) {
-                self.vms[vm] = self.fresh_vm();
-                // The others notice after a while.
-                self.vms[vm].hidden_until = self.step + self.rng.random_range(0..40);
+                self.vms[vm] = self.new_vm();
+                // The other VMs notice the restart after a while.
+                self.vms[vm].partitioned_until = self.step + self.rng.random_range(0..40);
             }
             if self.chance(self.faults.pause) {
                 self.vms[vm].paused_until = self.step + self.rng.random_range(5..150);
             }
             if self.chance(self.faults.partition) {
-                self.vms[vm].hidden_until = self.step + self.rng.random_range(5..100);
+                self.vms[vm].partitioned_until = self.step + self.rng.random_range(5..100);
             }
         }
         for vm in 0..self.vms.len() {
             if self.vms[vm].paused_until <= self.step {
-                self.wake(vm);
+                self.run_vm(vm);
             }
         }
     }
 
-    fn wake(&mut self, vm: usize) {
+    fn run_vm(&mut self, vm: usize) {
         let time = now(self.step);
         let mut due = Vec::new();
         let step = self.step;
@@ -372,7 +374,7 @@
             }],
         };
         let seen = |other: usize, state: &Vm| {
-            other == vm || (state.paused_until <= step && state.hidden_until <= step)
+            other == vm || (state.paused_until <= step && state.partitioned_until <= step)
         };
         let seen: Vec<(usize, &Vm)> = self
             .vms
@@ -382,23 +384,23 @@
             .collect();
         let vms: Vec<u64> = seen.iter().map(|(at, _)| *at as u64 + 1).collect();
         let owners = seen.iter().map(|(_, state)| state.batch.owner()).collect();
-        let hands = ServiceWorkers {
+        let workers = ServiceWorkers {
             service: SERVICE,
             vms: vms.clone(),
             domains: vec![1],
         };
-        let crew = BatchPeers {
+        let peers = BatchPeers {
             own: vm as u64 + 1,
             own_domain: 1,
             vms,
             owners,
-            hands: vec![hands],
+            hands: vec![workers],
         };
-        let told = (views, crew);
-        if self.vms[vm].told.as_ref() != Some(&told) {
-            due.push(Event::Jobs(told.0.clone()));
-            due.push(Event::Crew(told.1.clone()));
-            self.vms[vm].told = Some(told);
+        let passed = (views, peers);
+        if self.vms[vm].last_passed.as_ref() != Some(&passed) {
+            due.push(Event::Jobs(passed.0.clone()));
+            due.push(Event::Crew(passed.1.clone()));
+            self.vms[vm].last_passed = Some(passed);
         }
         let window = self.rng.random_range(0..4);
         due.push(Event::Windows(vec![(vm as u64, SERVICE, window)]));
@@ -411,7 +413,7 @@
         }
     }
 
-    /// All result lines that count, output before errors.
+    /// All result lines that count: output lines and error lines.
     fn results(&self) -> (Vec<String>, Vec<String>) {
         let mut out = (Vec::new(), Vec::new());
         for (_, record) in self.chunks.values() {
@@ -427,18 +429,18 @@
         out
     }
 
-    fn run_to_end(&mut self, most: u32) -> bool {
-        while self.ended.is_none() && self.step < most {
+    fn run_to_end(&mut self, steps_max: u32) -> bool {
+        while self.ended.is_none() && self.step < steps_max {
             self.run_step();
         }
         self.ended.is_some()
     }
 }
 
-fn calm() -> Faults {
+fn no_faults() -> Faults {
     Faults {
         lose_answer: 0.0,
-        away: 0.0,
+        store_unavailable: 0.0,
         endpoint_fails: 0.0,
         kill: 0.0,
         pause: 0.0,
@@ -449,21 +451,21 @@
     }
 }
 
-fn storm() -> Faults {
+fn random_faults() -> Faults {
     Faults {
         lose_answer: 0.15,
-        away: 0.1,
+        store_unavailable: 0.1,
         endpoint_fails: 0.1,
         kill: 0.004,
         pause: 0.004,
         partition: 0.004,
-        ..calm()
+        ..no_faults()
     }
 }
 
-/// Every item has exactly one result, and the job's counts say the same.
-fn each_item_once(world: &World) -> Result<(), String> {
-    let (output, errors) = world.results();
+/// Checks that every item has exactly one result and that the job's counts match.
+fn check_each_item_once(simulation: &Simulation) -> Result<(), String> {
+    let (output, errors) = simulation.results();
     let distinct: HashSet<&String> = output.iter().collect();
     if distinct.len() != output.len() {
         return Err(format!("an item has two results: {output:?}"));
@@ -472,7 +474,7 @@
     if total != (ITEMS * CHUNKS) as usize {
         return Err(format!("{total} results"));
     }
-    let counts = world
+    let counts = simulation
         .ended
         .as_ref()
         .map(|job| job.counts)
@@ -487,77 +489,77 @@
     Ok(())
 }
 
-/// A verdict that names the seed.
-fn judge(seed: u64, verdict: Result<(), String>) -> TestResult {
-    match verdict {
+/// Adds the seed to the error of a failed check.
+fn test_result(seed: u64, result: Result<(), String>) -> TestResult {
+    match result {
         Ok(()) => TestResult::passed(),
         Err(why) => TestResult::error(format!("seed {seed}: {why}")),
     }
 }
 
-// VMs die, are paused past their takeover and wake, hide from each other; the platform is away or
-// its answers are lost; endpoints fail. The job still completes with one result for each item,
-// since only results in a record that was won by its epoch count.
+// VMs die, resume from pauses after their chunks were taken over, and lose sight of each other; the
+// store is unavailable or its answers are lost; endpoints fail. The job still completes with one
+// result for each item, since only results in a record written under the current epoch count.
 #[test]
 fn items_once() {
     fn holds(seed: u64) -> TestResult {
-        let mut world = World::new(seed, storm(), 3);
-        if !world.run_to_end(60_000) {
+        let mut simulation = Simulation::new(seed, random_faults(), 3);
+        if !simulation.run_to_end(60_000) {
             return TestResult::error(format!("seed {seed}: the job did not end"));
         }
-        judge(seed, each_item_once(&world))
+        test_result(seed, check_each_item_once(&simulation))
     }
     quickcheck::QuickCheck::new()
         .tests(1_000)
         .quickcheck(holds as fn(u64) -> TestResult);
 }
 
-// An item that may not be repeated is under way when its VM dies, or its endpoint's answer is lost.
-// Its owner marked it as started before it went out; whoever takes over finds the mark and ends it
-// as "outcome unknown" instead of running it again.
+// The VM of a non-repeatable item dies, or its endpoint's answer is lost, while the item is in
+// flight. The owner marked the item as started before sending it; the next owner finds the mark and
+// ends the item as "outcome unknown" instead of running it again.
 #[test]
 fn never_twice() {
     fn holds(seed: u64) -> TestResult {
         let faults = Faults {
             non_repeatable: true,
-            ..storm()
+            ..random_faults()
         };
-        let mut world = World::new(seed, faults, 3);
-        if !world.run_to_end(60_000) {
+        let mut simulation = Simulation::new(seed, faults, 3);
+        if !simulation.run_to_end(60_000) {
             return TestResult::error(format!("seed {seed}: the job did not end"));
         }
-        let most = world.executions.values().max().copied().unwrap_or(0);
-        if most > 1 {
-            return TestResult::error(format!("seed {seed}: an item ran {most} times"));
+        let runs_max = simulation.executions.values().max().copied().unwrap_or(0);
+        if runs_max > 1 {
+            return TestResult::error(format!("seed {seed}: an item ran {runs_max} times"));
         }
-        judge(seed, each_item_once(&world))
+        test_result(seed, check_each_item_once(&simulation))
     }
     quickcheck::QuickCheck::new()
         .tests(1_000)
         .quickcheck(holds as fn(u64) -> TestResult);
 }
 
-// The job is cancelled while VMs die and pause. It ends as cancelled or, when all was done before,
-// as completed; what has a result keeps it and nothing changes after the end.
+// The job is cancelled while VMs die and pause. It ends as cancelled, or as completed when all
+// items were done before; existing results are kept, and nothing changes after the end.
 #[test]
 fn stays_cancelled() {
     fn holds(seed: u64, at: u8) -> TestResult {
         let faults = Faults {
             cancel_at: Some(u32::from(at) + 1),
-            ..storm()
+            ..random_faults()
         };
-        let mut world = World::new(seed, faults, 3);
-        if !world.run_to_end(60_000) {
+        let mut simulation = Simulation::new(seed, faults, 3);
+        if !simulation.run_to_end(60_000) {
             return TestResult::error(format!("seed {seed} at {at}: the job did not end"));
         }
-        let (results, state) = (world.results(), world.job.state);
+        let (results, state) = (simulation.results(), simulation.job.state);
         if !matches!(state, JobState::Cancelled | JobState::Completed) {
             return TestResult::error(format!("seed {seed}: {state:?}"));
         }
         for _ in 0..300 {
-            world.run_step();
+            simulation.run_step();
         }
-        if world.results() != results || world.job.state != state {
+        if simulation.results() != results || simulation.job.state != state {
             return TestResult::error(format!("seed {seed}: changed after the end"));
         }
         TestResult::from_bool(results.0.iter().collect::<HashSet<_>>().len() == results.0.len())
@@ -568,31 +570,32 @@
 }
 
 quickcheck! {
-    // Without pauses, nothing starts later than a second after the cancellation was known.
+    // Without pauses, no item starts later than one second after the cancellation.
     fn nothing_starts(seed: u64, at: u8) -> bool {
-        let faults = Faults { cancel_at: Some(u32::from(at) + 1), ..calm() };
-        let mut world = World::new(seed, faults, 2);
-        world.run_to_end(20_000) && world.started_late == 0
+        let faults = Faults { cancel_at: Some(u32::from(at) + 1), ..no_faults() };
+        let mut simulation = Simulation::new(seed, faults, 2);
+        simulation.run_to_end(20_000) && simulation.started_late == 0
     }
 
-    // In calm weather a chunk costs at most three writes: its claim, one for what it holds, its end.
+    // Without faults a chunk costs at most three writes: its claim, one checkpoint, its end.
     fn few_writes(seed: u64) -> bool {
-        let mut world = World::new(seed, calm(), 3);
-        let ended = world.run_to_end(20_000);
-        let writes: u64 = world.vms.iter().map(|vm| vm.batch.totals.writes).sum();
+        let mut simulation = Simulation::new(seed, no_faults(), 3);
+        let ended = simulation.run_to_end(20_000);
+        let writes: u64 = simulation.vms.iter().map(|vm| vm.batch.totals.writes).sum();
         ended && writes <= u64::from(CHUNKS) * 3
     }
 
-    // One item kills every endpoint that it reaches, and what is under way there fails with it. It
-    // is given up after the second death; all others complete, since one suspect at a time is sent.
+    // One item kills every endpoint that it reaches, and all attempts in flight there fail with it.
+    // The item fails after the second death; all others complete, since an endpoint gets one
+    // suspect at a time.
     fn poison_alone(seed: u64, item: u8) -> bool {
         let poison = 1 + u32::from(item) % (ITEMS - 1);
-        let faults = Faults { poison: Some(poison), ..calm() };
-        let mut world = World::new(seed, faults, 2);
-        let ended = world.run_to_end(20_000);
-        let (output, errors) = world.results();
+        let faults = Faults { poison: Some(poison), ..no_faults() };
+        let mut simulation = Simulation::new(seed, faults, 2);
+        let ended = simulation.run_to_end(20_000);
+        let (output, errors) = simulation.results();
         let quarantined = errors.iter().filter(|line| line.contains("quarantined")).count();
         let expected = (ITEMS * CHUNKS - CHUNKS - 1) as usize;
-        ended && quarantined == 1 && output.len() == expected && each_item_once(&world).is_ok()
+        ended && quarantined == 1 && output.len() == expected && check_each_item_once(&simulation).is_ok()
     }
 }
--- a/tests/diskless_jobs.rs
+++ b/tests/diskless_jobs.rs
@@ -5,7 +5,7 @@
 use bramleyseam::standin::fleet::{chat_lines, Fleet, Plan};
 use serde_json::json;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const JOB_TIMEOUT: Duration = Duration::from_secs(60);
 
 fn plan() -> Plan {
     let behaviour = json!({ "slots": 64, "step_us": 1_000, "step_us_per_request": 10 });
@@ -21,7 +21,7 @@
 fn completes(name: &str, lines: &str, items: usize) {
     let fleet = Fleet::start(name, &plan()).unwrap();
     let job = fleet.send_job(0, lines).unwrap();
-    let shown = fleet.wait_job(0, &job, PATIENCE);
+    let shown = fleet.wait_job(0, &job, JOB_TIMEOUT);
     assert_eq!(shown["request_counts"]["completed"], items);
 }
 
@@ -40,8 +40,8 @@
     completes("long-lines", &(wide.join("\n") + "\n"), 10);
 }
 
-// A deployment without disks refuses a file that its store could hold in several values: a term's
-// worth of decks can't be ordered at all. The file and its results go into the store, cut.
+// A file that is too large for one value of the store has to be accepted on a deployment without
+// disks: the file and its results are split over several values.
 #[test]
 fn many_small_items() {
     let lines = chat_lines(6_000, 2);
