--- a/src/decide/items.rs
+++ b/src/decide/items.rs
@@ -1,8 +1,8 @@
-//! Which batch items run, where, and which are taken back for online requests.
+//! Schedules batch items on endpoints, and preempts them for online requests.
 //!
-//! Engines admit in order of arrival and know no priorities, so an item goes out only where a slot
-//! is free, and comes back when online requests need the slot. An item that is taken back goes on
-//! later after its last event, so little is lost.
+//! Engines admit requests in order of arrival and have no priorities, so an item is sent only when
+//! a slot is free, and is preempted when online requests need the slot. A preempted item resumes
+//! later after its last event, so little work is lost.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,21 +14,20 @@
 use super::usage::{own_excess, Usage};
 use crate::id::{DomainId, EndpointId, JobId, ServiceId, VmId};
 
-/// Slots of an endpoint, as a share, that items keep however many online requests come: only items
-/// that would miss their due time otherwise. Keeps jobs from starving through an online load that
-/// fills the fleet for minutes.
-pub const KEPT_SHARE: f64 = 0.25;
+/// Share of an endpoint's slots that urgent items may use regardless of online load. Keeps jobs
+/// from starving when online load fills the fleet for minutes.
+pub const URGENT_SLOT_SHARE: f64 = 0.25;
 /// Spare time below which an item counts as urgent; covers a wait for a slot and one failed run.
-pub const SPARE: Duration = Duration::from_millis(1500);
-/// Part of a job's whole time that an item is taken to run while no item has shown it.
-const RUN_GUESS: f64 = 0.25;
+pub const URGENT_MARGIN: Duration = Duration::from_millis(1500);
+/// Assumed run time of an item, as a part of its job's total time, until an item has completed.
+const RUN_TIME_GUESS: f64 = 0.25;
 /// Weight of the newest item in the moving average of run times.
-const AVERAGE_NEW: f64 = 0.1;
-/// Pause after a run that failed through its endpoint.
-pub const FAILED_PAUSE: Duration = Duration::from_millis(250);
-/// Pause after an item made way. What the other VMs do shows within this time; without it items are
-/// started and taken back many times a second while a burst lasts.
-pub const YIELDED_PAUSE: Duration = Duration::from_millis(400);
+const RUN_TIME_NEWEST_WEIGHT: f64 = 0.1;
+/// Delay before the retry of an item whose run failed because of its endpoint.
+pub const FAILED_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Delay before a preempted item may start again. The actions of other VMs show within this time;
+/// without the delay items are started and preempted many times a second during a burst.
+pub const PREEMPTED_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 /// One item of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -37,7 +36,7 @@
     pub item: ItemIndex,
 }
 
-/// Where an item stands.
+/// State of an item's execution.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Stage {
     Waiting {
@@ -46,53 +45,53 @@
     Running {
         endpoint: EndpointId,
         since: Duration,
-        /// Told to stop; its slot is free for all decisions from then on.
+        /// A stop was requested; from then on its slot counts as free.
         stopping: bool,
     },
 }
 
 #[derive(Debug, Clone)]
-struct Row {
+struct ItemState {
     service: ServiceId,
     due: Duration,
-    /// Time of runs that have ended; their events count.
-    ran: Duration,
+    /// Run time of earlier runs; their events count.
+    earlier_run_time: Duration,
     stage: Stage,
-    /// Endpoint of the last failed run, passed over while there is another.
+    /// Endpoint of the last failed run; used only when there is no other.
     avoid: Option<EndpointId>,
 }
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Start {
         key: ItemKey,
         endpoint: EndpointId,
     },
-    /// Close the item's connection and keep its text.
+    /// Close the item's connection and keep its partial text.
     Stop {
         key: ItemKey,
     },
 }
 
-/// All items that this VM answers for.
+/// All items that this VM is responsible for.
 #[derive(Debug, Default, Clone)]
 pub struct Items {
-    rows: HashMap<ItemKey, Row>,
-    /// Moving average of the time that a whole item runs.
-    typical: Option<Duration>,
-    turns: SlotGrants,
-    /// What free slots beside waiting items have cost.
+    states: HashMap<ItemKey, ItemState>,
+    /// Moving average of the run time of a completed item.
+    typical_run_time: Option<Duration>,
+    slot_grants: SlotGrants,
+    /// Free slots that stayed unused while items waited.
     pub idle: Idle,
 }
 
-/// The VM that plans, among the others.
+/// The VM for which items are scheduled, and the VMs that it competes with.
 pub struct ItemPlanner<'a> {
     pub vm: VmId,
     pub domain: DomainId,
-    /// Other VMs with items that wait.
+    /// Other VMs with waiting items.
     pub rivals: &'a [CompetingVm],
-    /// False while it drains.
+    /// False while the VM drains.
     pub starting: bool,
 }
 
@@ -100,12 +99,12 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EndpointItems {
     pub batch: u32,
-    /// Those of `batch` that would miss their due time if they had to make way now.
+    /// Items of `batch` that would miss their due time if they were preempted now.
     pub urgent: u32,
 }
 
-/// What is known of an endpoint when items are placed.
-struct Room {
+/// Slots and load of an endpoint in one scheduling pass.
+struct EndpointCapacity {
     id: EndpointId,
     service: ServiceId,
     domain: DomainId,
@@ -114,302 +113,330 @@
     online: u32,
     batch_here: u32,
     batch_elsewhere: u32,
-    /// Urgent ones of all VMs' items.
+    /// Urgent items of all VMs.
     urgent: u32,
-    /// Known in this plan not to be this VM's turn, for usual and for urgent items: to rank hundreds of
-    /// VMs for thousands of endpoints again for each item would take longer than a plan has.
+    /// Whether this VM was denied a slot grant in this pass, for regular and for urgent items.
+    /// Cached, because ranking hundreds of VMs at thousands of endpoints again for each item would
+    /// take too long.
     denied: [bool; 2],
 }
 
-impl Room {
-    /// Free slots, negative when there is more than the endpoint runs at once.
-    fn free(&self) -> i64 {
+impl EndpointCapacity {
+    /// Free slots, negative when the endpoint is overcommitted.
+    fn free_slots(&self) -> i64 {
         let used = self.online + self.batch_here + self.batch_elsewhere;
         i64::from(self.slots) - i64::from(used)
     }
 
-    /// Slots that items may take: free ones, and for urgent items those that they keep from online
+    /// Slots that items may take: free ones, and for urgent items also those reserved from online
     /// requests.
-    fn open(&self, urgent: bool) -> u32 {
-        let free = self.free().max(0) as u32;
+    fn open_slots(&self, urgent: bool) -> u32 {
+        let free = self.free_slots().max(0) as u32;
         match urgent {
-            true => free.max(kept_max(self.slots).saturating_sub(self.urgent)),
+            true => free.max(urgent_slots_max(self.slots).saturating_sub(self.urgent)),
             false => free,
         }
     }
 }
 
-/// Slots that urgent items keep at an endpoint at the most.
-pub fn kept_max(slots: u32) -> u32 {
-    (f64::from(slots) * KEPT_SHARE) as u32
+/// Slots of an endpoint that urgent items may keep from online requests.
+pub fn urgent_slots_max(slots: u32) -> u32 {
+    (f64::from(slots) * URGENT_SLOT_SHARE) as u32
 }
 
 impl Items {
-    /// Adds an item, to be done by `due` (monotonic).
+    /// Adds an item with the due time `due` (monotonic).
     pub fn add(&mut self, now: Duration, key: ItemKey, service: ServiceId, due: Duration) {
-        let guess = due.saturating_sub(now).mul_f64(RUN_GUESS);
-        self.typical.get_or_insert(guess);
+        let guess = due.saturating_sub(now).mul_f64(RUN_TIME_GUESS);
+        self.typical_run_time.get_or_insert(guess);
         let stage = Stage::Waiting {
             not_before: Duration::ZERO,
         };
-        let row = Row {
+        let state = ItemState {
             service,
             due,
-            ran: Duration::ZERO,
+            earlier_run_time: Duration::ZERO,
             stage,
             avoid: None,
         };
-        self.rows.insert(key, row);
+        self.states.insert(key, state);
     }
 
-    /// An item ran to its end.
+    /// Removes an item that ran to its end, and updates the average run time.
     pub fn completed(&mut self, now: Duration, key: &ItemKey) {
-        let Some(row) = self.rows.remove(key) else {
+        let Some(state) = self.states.remove(key) else {
             return;
         };
-        let whole = row.ran + row.running_for(now);
-        let typical = self.typical.unwrap_or(whole);
-        self.typical = Some(typical.mul_f64(1.0 - AVERAGE_NEW) + whole.mul_f64(AVERAGE_NEW));
+        let run_time = state.earlier_run_time + state.current_run_time(now);
+        let typical = self.typical_run_time.unwrap_or(run_time);
+        self.typical_run_time = Some(
+            typical.mul_f64(1.0 - RUN_TIME_NEWEST_WEIGHT)
+                + run_time.mul_f64(RUN_TIME_NEWEST_WEIGHT),
+        );
     }
 
-    /// An item ended without a whole run.
+    /// Removes an item that ended without a complete run.
     pub fn remove(&mut self, key: &ItemKey) {
-        self.rows.remove(key);
+        self.states.remove(key);
     }
 
-    /// A run ended without a result: the item waits again. `failed` when its endpoint was at fault.
+    /// A run ended without a result: the item waits again. `failed` when its endpoint caused it.
     pub fn paused(&mut self, now: Duration, key: &ItemKey, failed: bool) {
-        let Some(row) = self.rows.get_mut(key) else {
+        let Some(state) = self.states.get_mut(key) else {
             return;
         };
-        row.ran += row.running_for(now);
-        if let (Stage::Running { endpoint, .. }, true) = (row.stage, failed) {
-            row.avoid = Some(endpoint);
+        state.earlier_run_time += state.current_run_time(now);
+        if let (Stage::Running { endpoint, .. }, true) = (state.stage, failed) {
+            state.avoid = Some(endpoint);
         }
-        let pause = if failed { FAILED_PAUSE } else { YIELDED_PAUSE };
-        row.stage = Stage::Waiting {
-            not_before: now + pause,
+        let delay = if failed {
+            FAILED_RETRY_AFTER
+        } else {
+            PREEMPTED_RETRY_AFTER
+        };
+        state.stage = Stage::Waiting {
+            not_before: now + delay,
         };
     }
 
-    /// An item may not run for so long yet.
+    /// Delays an item whose request is quarantined.
     pub fn held_back(&mut self, now: Duration, key: &ItemKey, back_in: Duration) {
-        if let Some(row) = self.rows.get_mut(key) {
+        if let Some(state) = self.states.get_mut(key) {
             let not_before = now + back_in;
-            row.stage = Stage::Waiting { not_before };
+            state.stage = Stage::Waiting { not_before };
         }
     }
 
-    /// An item goes on here that had run so long elsewhere.
+    /// Sets the earlier run time of an item that resumes here after it ran on another VM.
     pub fn resumed(&mut self, key: &ItemKey, ran: Duration) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.ran = ran;
+        if let Some(state) = self.states.get_mut(key) {
+            state.earlier_run_time = ran;
         }
     }
 
-    /// How long an item has run in all.
+    /// Total run time of an item.
     pub fn ran(&self, now: Duration, key: &ItemKey) -> Duration {
-        let row = self.rows.get(key);
-        row.map_or(Duration::ZERO, |row| row.ran + row.running_for(now))
+        let state = self.states.get(key);
+        state.map_or(Duration::ZERO, |state| {
+            state.earlier_run_time + state.current_run_time(now)
+        })
     }
 
-    /// The routes have changed: an item that waits goes to this service.
+    /// Changes the service of an item after a change of the routes.
     pub fn moved(&mut self, key: &ItemKey, service: ServiceId) {
-        if let Some(row) = self.rows.get_mut(key) {
-            row.service = service;
+        if let Some(state) = self.states.get_mut(key) {
+            state.service = service;
         }
     }
 
-    /// All items, for a look at their routes.
+    /// Keys of all items, to check their routes.
     pub fn keys(&self) -> Vec<ItemKey> {
-        self.rows.keys().cloned().collect()
+        self.states.keys().cloned().collect()
     }
 
-    /// Items in hand, and those that run.
+    /// Number of items, and of running ones.
     pub fn counts(&self) -> (usize, usize) {
-        let running = self.rows.values().filter(|row| row.runs_at().is_some());
-        (self.rows.len(), running.count())
+        let running = self
+            .states
+            .values()
+            .filter(|state| state.occupied_endpoint().is_some());
+        (self.states.len(), running.count())
     }
 
-    /// Items of this VM at an endpoint.
+    /// Items of this VM running at an endpoint.
     pub fn at(&self, endpoint: EndpointId) -> u32 {
-        let here = |row: &&Row| row.runs_at() == Some(endpoint);
-        self.rows.values().filter(here).count() as u32
+        let here = |state: &&ItemState| state.occupied_endpoint() == Some(endpoint);
+        self.states.values().filter(here).count() as u32
     }
 
     /// Items of this VM by endpoint.
     pub fn placed(&self, now: Duration) -> HashMap<EndpointId, EndpointItems> {
-        let mut placed: HashMap<EndpointId, EndpointItems> = HashMap::new();
-        for row in self.rows.values() {
-            let Some(endpoint) = row.runs_at() else {
+        let mut by_endpoint: HashMap<EndpointId, EndpointItems> = HashMap::new();
+        for state in self.states.values() {
+            let Some(endpoint) = state.occupied_endpoint() else {
                 continue;
             };
-            let at = placed.entry(endpoint).or_default();
-            at.batch += 1;
-            at.urgent += u32::from(self.is_urgent(now, row));
+            let counts = by_endpoint.entry(endpoint).or_default();
+            counts.batch += 1;
+            counts.urgent += u32::from(self.is_urgent(now, state));
         }
-        placed
+        by_endpoint
     }
 
-    /// Whether an item would miss its due time if it didn't run from now on. One that is late
-    /// already has little left to lose.
-    fn is_urgent(&self, now: Duration, row: &Row) -> bool {
-        let typical = self.typical.unwrap_or_default();
-        let ran = row.ran + row.running_for(now);
+    /// Whether an item would miss its due time if it were not running from now on. Items that are
+    /// already late are not urgent: running them sooner gains little.
+    fn is_urgent(&self, now: Duration, state: &ItemState) -> bool {
+        let typical = self.typical_run_time.unwrap_or_default();
+        let ran = state.earlier_run_time + state.current_run_time(now);
         let left = typical.saturating_sub(ran);
-        now < row.due && now + left + SPARE >= row.due
+        now < state.due && now + left + URGENT_MARGIN >= state.due
     }
 
-    /// Whether an item can't be done by its due time any more. It goes after all that still can.
+    /// Whether an item can't be done by its due time any more. Such items go after all that still
+    /// can.
     ///
-    /// The failure: a flood brings more than can be done in time. In order of due times alone each item
-    /// ends just after it was due. Measured in floods of 60 and 40 times the usual jobs: 317 and 296
-    /// items in time before, 329 to 359 with this order.
-    fn is_hopeless(&self, now: Duration, row: &Row) -> bool {
-        let left = self.typical.unwrap_or_default().saturating_sub(row.ran);
-        now + left >= row.due
+    /// Without this, in a flood that exceeds the capacity, ordering by due time alone ends each
+    /// item just after it was due. Measured in floods of 60 and 40 times the usual jobs: 317 and
+    /// 296 items in time before, 329 to 359 with this order.
+    fn is_hopeless(&self, now: Duration, state: &ItemState) -> bool {
+        let left = self
+            .typical_run_time
+            .unwrap_or_default()
+            .saturating_sub(state.earlier_run_time);
+        now + left >= state.due
     }
 
-    /// Writes into the endpoints' rows what all VMs have there.
+    /// Updates the usage of all VMs in the endpoints' rows.
     pub fn note_uses(&self, now: Duration, endpoints: &mut Endpoints, usage: &Usage) {
-        let placed = self.placed(now);
-        for row in &mut endpoints.rows {
-            let here = placed.get(&row.id).copied().unwrap_or_default();
-            note_use(now, row, here, usage);
+        let by_endpoint = self.placed(now);
+        for endpoint in &mut endpoints.rows {
+            let here = by_endpoint.get(&endpoint.id).copied().unwrap_or_default();
+            update_endpoint_usage(now, endpoint, here, usage);
         }
     }
 
-    /// The same for the endpoints of one VM's word; true when one of them has too much and items of
-    /// this VM, which then have to be looked at.
+    /// Like [`Items::update_usage`], for the endpoints of one VM's report. Returns whether one of
+    /// them is over its limit and has items of this VM, which then have to be scheduled again.
     pub fn note_uses_at(
         &self,
         now: Duration,
         endpoints: &mut Endpoints,
         usage: &Usage,
-        touched: &[EndpointId],
+        reported: &[EndpointId],
     ) -> bool {
-        let placed = self.placed(now);
-        let mut crowded = false;
-        for id in touched {
-            if let Some(row) = endpoints.get_mut(*id) {
-                let here = placed.get(id).copied().unwrap_or_default();
-                note_use(now, row, here, usage);
-                crowded |= here.batch > 0 && row.may_queue(now);
+        let by_endpoint = self.placed(now);
+        let mut over_limit = false;
+        for id in reported {
+            if let Some(endpoint) = endpoints.get_mut(*id) {
+                let here = by_endpoint.get(id).copied().unwrap_or_default();
+                update_endpoint_usage(now, endpoint, here, usage);
+                over_limit |= here.batch > 0 && endpoint.may_queue(now);
             }
         }
-        crowded
+        over_limit
     }
 
-    /// Takes back what is too much and starts what has room.
+    /// Preempts excess items and starts items that fit.
     pub fn plan(
         &mut self,
         now: Duration,
-        own: &ItemPlanner<'_>,
+        planner: &ItemPlanner<'_>,
         endpoints: &Endpoints,
         usage: &Usage,
     ) -> Vec<Action> {
-        let mut rooms = self.rooms(now, endpoints, usage);
+        let mut capacities = self.capacities(now, endpoints, usage);
         let mut out = Vec::new();
-        for room in &mut rooms {
-            self.yield_slots(now, own.vm, room, usage, &mut out);
+        for capacity in &mut capacities {
+            self.preempt_excess(now, planner.vm, capacity, usage, &mut out);
         }
-        if own.starting {
-            self.start(now, own, &mut rooms, &mut out);
+        if planner.starting {
+            self.start(now, planner, &mut capacities, &mut out);
         }
-        let beside = self.beside(now, own, &rooms);
-        self.idle.note(now, beside);
+        let snapshot = self.idle_snapshot(now, planner, &capacities);
+        self.idle.note(now, snapshot);
         out
     }
 
-    /// What stands free, and what waits beside it.
-    fn beside(&self, now: Duration, own: &ItemPlanner<'_>, rooms: &[Room]) -> IdleSnapshot {
-        let usable = rooms.iter().filter(|room| room.usable);
-        let mut beside = IdleSnapshot {
-            free_slots: usable.map(|room| room.open(false)).sum(),
-            starting: own.starting,
+    /// Free slots, and the items waiting meanwhile.
+    fn idle_snapshot(
+        &self,
+        now: Duration,
+        planner: &ItemPlanner<'_>,
+        capacities: &[EndpointCapacity],
+    ) -> IdleSnapshot {
+        let usable = capacities.iter().filter(|capacity| capacity.usable);
+        let mut snapshot = IdleSnapshot {
+            free_slots: usable.map(|capacity| capacity.open_slots(false)).sum(),
+            starting: planner.starting,
             ..IdleSnapshot::default()
         };
-        for row in self.rows.values() {
-            match row.stage {
-                Stage::Waiting { not_before } if now < not_before => beside.paused += 1,
-                Stage::Waiting { .. } => beside.ready += 1,
+        for state in self.states.values() {
+            match state.stage {
+                Stage::Waiting { not_before } if now < not_before => snapshot.paused += 1,
+                Stage::Waiting { .. } => snapshot.ready += 1,
                 Stage::Running { .. } => {}
             }
         }
-        beside
+        snapshot
     }
 
-    /// Items that wait for a slot.
+    /// Number of items that wait for a slot.
     pub fn waiting(&self) -> usize {
-        let waits = |row: &&Row| matches!(row.stage, Stage::Waiting { .. });
-        self.rows.values().filter(waits).count()
+        let waits = |state: &&ItemState| matches!(state.stage, Stage::Waiting { .. });
+        self.states.values().filter(waits).count()
     }
 
-    fn rooms(&self, now: Duration, endpoints: &Endpoints, usage: &Usage) -> Vec<Room> {
-        let placed = self.placed(now);
-        let room = |row: &Endpoint| {
-            let elsewhere = usage.of(row.id);
-            let here = placed.get(&row.id).copied().unwrap_or_default();
-            Room {
-                id: row.id,
-                service: row.declared.service,
-                domain: row.declared.domain,
-                usable: row.usable(now),
-                slots: row.slots(now) as u32,
-                online: row.online_here + elsewhere.online,
+    fn capacities(
+        &self,
+        now: Duration,
+        endpoints: &Endpoints,
+        usage: &Usage,
+    ) -> Vec<EndpointCapacity> {
+        let by_endpoint = self.placed(now);
+        let capacity = |endpoint: &Endpoint| {
+            let elsewhere = usage.of(endpoint.id);
+            let here = by_endpoint.get(&endpoint.id).copied().unwrap_or_default();
+            EndpointCapacity {
+                id: endpoint.id,
+                service: endpoint.declared.service,
+                domain: endpoint.declared.domain,
+                usable: endpoint.usable(now),
+                slots: endpoint.slots(now) as u32,
+                online: endpoint.online_here + elsewhere.online,
                 batch_here: here.batch,
                 batch_elsewhere: elsewhere.batch,
                 urgent: here.urgent + elsewhere.urgent,
                 denied: [false; 2],
             }
         };
-        endpoints.rows.iter().map(room).collect()
+        endpoints.rows.iter().map(capacity).collect()
     }
 
-    fn yield_slots(
+    fn preempt_excess(
         &mut self,
         now: Duration,
         vm: VmId,
-        room: &mut Room,
+        capacity: &mut EndpointCapacity,
         usage: &Usage,
         out: &mut Vec<Action>,
     ) {
-        let batch = room.batch_here + room.batch_elsewhere;
-        let kept = room.urgent.min(kept_max(room.slots));
-        let over = (-room.free()).max(0) as u32;
-        let excess = over.min(batch.saturating_sub(kept));
-        if excess == 0 || room.batch_here == 0 {
+        let batch = capacity.batch_here + capacity.batch_elsewhere;
+        let reserved = capacity.urgent.min(urgent_slots_max(capacity.slots));
+        let over = (-capacity.free_slots()).max(0) as u32;
+        let excess = over.min(batch.saturating_sub(reserved));
+        if excess == 0 || capacity.batch_here == 0 {
             return;
         }
-        let part = match usage.item_allowance(now, room.id) {
-            Some(kept) => room.batch_here.saturating_sub(kept),
+        let count = match usage.item_allowance(now, capacity.id) {
+            Some(allowance) => capacity.batch_here.saturating_sub(allowance),
             None => {
-                let others = usage.batch_users(room.id);
-                own_excess(excess, (vm, room.batch_here), &others)
+                let others = usage.batch_users(capacity.id);
+                own_excess(excess, (vm, capacity.batch_here), &others)
             }
         };
-        for key in self.least_urgent(room.id, part as usize) {
-            if let Some(row) = self.rows.get_mut(&key) {
-                if let Stage::Running { stopping, .. } = &mut row.stage {
+        for key in self.least_urgent(capacity.id, count as usize) {
+            if let Some(state) = self.states.get_mut(&key) {
+                if let Stage::Running { stopping, .. } = &mut state.stage {
                     *stopping = true;
                 }
             }
-            room.batch_here -= 1;
+            capacity.batch_here -= 1;
             out.push(Action::Stop { key });
         }
     }
 
-    /// Running items at an endpoint, those due last first; among equals the youngest run.
+    /// Running items at an endpoint, latest due time first; among equals the most recently started
+    /// first.
     fn least_urgent(&self, endpoint: EndpointId, count: usize) -> Vec<ItemKey> {
-        let running = |(key, row): (&ItemKey, &Row)| match row.stage {
+        let running = |(key, state): (&ItemKey, &ItemState)| match state.stage {
             Stage::Running {
                 endpoint: at,
                 since,
                 stopping: false,
-            } if at == endpoint => Some((row.due, since, key.clone())),
+            } if at == endpoint => Some((state.due, since, key.clone())),
             _ => None,
         };
-        let mut found: Vec<_> = self.rows.iter().filter_map(running).collect();
+        let mut found: Vec<_> = self.states.iter().filter_map(running).collect();
         found.sort_by(|a, b| b.cmp(a));
         found.into_iter().take(count).map(|(.., key)| key).collect()
     }
@@ -417,112 +444,148 @@
     fn start(
         &mut self,
         now: Duration,
-        own: &ItemPlanner<'_>,
-        rooms: &mut [Room],
+        planner: &ItemPlanner<'_>,
+        capacities: &mut [EndpointCapacity],
         out: &mut Vec<Action>,
     ) {
-        let waiting = |(key, row): (&ItemKey, &Row)| match row.stage {
+        let waiting = |(key, state): (&ItemKey, &ItemState)| match state.stage {
             Stage::Waiting { not_before } if now >= not_before => {
-                let order = (self.is_hopeless(now, row), row.due, key.clone());
-                Some((order, self.is_urgent(now, row)))
+                let order = (self.is_hopeless(now, state), state.due, key.clone());
+                Some((order, self.is_urgent(now, state)))
             }
             _ => None,
         };
-        let mut queue: Vec<_> = self.rows.iter().filter_map(waiting).collect();
+        let mut queue: Vec<_> = self.states.iter().filter_map(waiting).collect();
         queue.sort();
-        let mut left = self.waiting() as u32;
+        let mut waiting_count = self.waiting() as u32;
         for ((.., key), urgent) in queue {
-            let Some(row) = self.rows.get_mut(&key) else {
+            let Some(state) = self.states.get_mut(&key) else {
                 continue;
             };
-            let wanted = Wanted {
-                service: row.service,
+            let needs = ItemNeeds {
+                service: state.service,
                 urgent,
             };
-            let found = best_room(rooms, &self.turns, now, own, left, wanted, row.avoid)
-                .or_else(|| best_room(rooms, &self.turns, now, own, left, wanted, None));
-            let Some(room) = found.map(|at| &mut rooms[at]) else {
+            let found = best_endpoint(
+                capacities,
+                &self.slot_grants,
+                now,
+                planner,
+                waiting_count,
+                needs,
+                state.avoid,
+            )
+            .or_else(|| {
+                best_endpoint(
+                    capacities,
+                    &self.slot_grants,
+                    now,
+                    planner,
+                    waiting_count,
+                    needs,
+                    None,
+                )
+            });
+            let Some(capacity) = found.map(|at| &mut capacities[at]) else {
                 continue;
             };
-            room.batch_here += 1;
-            room.urgent += u32::from(urgent);
-            let endpoint = room.id;
-            row.stage = Stage::Running {
+            capacity.batch_here += 1;
+            capacity.urgent += u32::from(urgent);
+            let endpoint = capacity.id;
+            state.stage = Stage::Running {
                 endpoint,
                 since: now,
                 stopping: false,
             };
-            left = left.saturating_sub(1);
-            self.turns.started(now, endpoint);
+            waiting_count = waiting_count.saturating_sub(1);
+            self.slot_grants.started(now, endpoint);
             out.push(Action::Start { key, endpoint });
         }
     }
 }
 
-fn note_use(now: Duration, row: &mut Endpoint, here: EndpointItems, usage: &Usage) {
-    let elsewhere = usage.of(row.id);
-    row.online_elsewhere = elsewhere.online;
-    row.remote_vms = elsewhere.online_users;
-    row.batch = elsewhere.batch + here.batch;
-    row.kept = (elsewhere.urgent + here.urgent).min(kept_max(row.slots(now) as u32));
+fn update_endpoint_usage(
+    now: Duration,
+    endpoint: &mut Endpoint,
+    here: EndpointItems,
+    usage: &Usage,
+) {
+    let elsewhere = usage.of(endpoint.id);
+    endpoint.online_elsewhere = elsewhere.online;
+    endpoint.remote_vms = elsewhere.online_users;
+    endpoint.batch = elsewhere.batch + here.batch;
+    endpoint.kept =
+        (elsewhere.urgent + here.urgent).min(urgent_slots_max(endpoint.slots(now) as u32));
 }
 
-/// What an item needs of an endpoint.
+/// Requirements of an item on its endpoint.
 #[derive(Clone, Copy)]
-struct Wanted {
+struct ItemNeeds {
     service: ServiceId,
     urgent: bool,
 }
 
-/// Place of the endpoint with the most free slots, among those where it is this VM's turn.
-fn best_room(
-    rooms: &mut [Room],
-    turns: &SlotGrants,
+/// Index of the endpoint with the most free slots, among those where this VM gets a slot grant.
+fn best_endpoint(
+    capacities: &mut [EndpointCapacity],
+    slot_grants: &SlotGrants,
     now: Duration,
-    own: &ItemPlanner<'_>,
-    items: u32,
-    wanted: Wanted,
+    planner: &ItemPlanner<'_>,
+    waiting_items: u32,
+    needs: ItemNeeds,
     avoid: Option<EndpointId>,
 ) -> Option<usize> {
-    let denied = usize::from(wanted.urgent);
+    let denied = usize::from(needs.urgent);
     loop {
-        let fits = |(_, room): &(usize, &Room)| {
-            room.service == wanted.service
-                && room.usable
-                && room.open(wanted.urgent) > 0
-                && avoid != Some(room.id)
-                && !room.denied[denied]
+        let fits = |(_, capacity): &(usize, &EndpointCapacity)| {
+            capacity.service == needs.service
+                && capacity.usable
+                && capacity.open_slots(needs.urgent) > 0
+                && avoid != Some(capacity.id)
+                && !capacity.denied[denied]
         };
-        let open = rooms.iter().enumerate().filter(fits);
-        let best = open.max_by_key(|(_, room)| (room.free(), room.domain == own.domain, room.id));
-        let (at, room) = best?;
+        let open = capacities.iter().enumerate().filter(fits);
+        let best = open.max_by_key(|(_, capacity)| {
+            (
+                capacity.free_slots(),
+                capacity.domain == planner.domain,
+                capacity.id,
+            )
+        });
+        let (at, capacity) = best?;
         let vm = CompetingVm {
-            vm: own.vm,
-            domain: own.domain,
-            items,
+            vm: planner.vm,
+            domain: planner.domain,
+            items: waiting_items,
         };
         let place = EndpointPlace {
-            id: room.id,
-            domain: room.domain,
+            id: capacity.id,
+            domain: capacity.domain,
         };
-        if turns.may_start(now, place, room.open(wanted.urgent), vm, own.rivals) {
+        if slot_grants.may_start(
+            now,
+            place,
+            capacity.open_slots(needs.urgent),
+            vm,
+            planner.rivals,
+        ) {
             return Some(at);
         }
-        rooms[at].denied[denied] = true;
+        capacities[at].denied[denied] = true;
     }
 }
 
-impl Row {
-    /// Length of the run under way.
-    fn running_for(&self, now: Duration) -> Duration {
+impl ItemState {
+    /// Duration of the current run.
+    fn current_run_time(&self, now: Duration) -> Duration {
         match self.stage {
             Stage::Running { since, .. } => now.saturating_sub(since),
             Stage::Waiting { .. } => Duration::ZERO,
         }
     }
 
-    /// The endpoint whose slot the item takes.
-    fn runs_at(&self) -> Option<EndpointId> {
+    /// The endpoint whose slot the item uses.
+    fn occupied_endpoint(&self) -> Option<EndpointId> {
         match self.stage {
             Stage::Running {
                 endpoint,
--- a/tests/batch_items.rs
+++ b/tests/batch_items.rs
@@ -1,16 +1,18 @@
-//! Where batch items run, and which make way for online requests.
+//! Where batch items run, and which are preempted for online requests.
 
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
-use bramleyseam::decide::items::{Action, ItemKey, ItemPlanner, Items, KEPT_SHARE, YIELDED_PAUSE};
+use bramleyseam::decide::items::{
+    Action, ItemKey, ItemPlanner, Items, PREEMPTED_RETRY_AFTER, URGENT_SLOT_SHARE,
+};
 use bramleyseam::decide::usage::{own_excess, EndpointUse, Usage};
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
 
 const SERVICE: u64 = 1;
 const VM: u64 = 7;
-const HOME: u64 = 1;
+const LOCAL_DOMAIN: u64 = 1;
 const SLOTS: u32 = 8;
 
 fn ms(count: u64) -> Duration {
@@ -19,7 +21,7 @@
 
 fn endpoints(count: usize) -> Endpoints {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(count, SERVICE, f64::from(SLOTS), |_| HOME));
+    endpoints.configure(declared(count, SERVICE, f64::from(SLOTS), |_| LOCAL_DOMAIN));
     endpoints
 }
 
@@ -41,7 +43,7 @@
 fn plan(items: &mut Items, now: Duration, endpoints: &Endpoints, usage: &Usage) -> Vec<Action> {
     let own = ItemPlanner {
         vm: VM,
-        domain: HOME,
+        domain: LOCAL_DOMAIN,
         rivals: &[],
         starting: true,
     };
@@ -72,9 +74,9 @@
     }
 }
 
-// A counter answer waits behind batch items for seconds. The engines are full of items when a burst
-// comes, and they admit in order of arrival. Items go out of the way, one for each online request
-// that is too much, and go on later after their last event.
+// All slots are used by batch items when a burst of online requests comes. Engines admit in order
+// of arrival, so without preemption an online request waits behind items for seconds. One item is
+// preempted for each request over the slot limit, and resumes later after its last event.
 #[test]
 fn makes_way() {
     let mut endpoints = endpoints(1);
@@ -88,14 +90,14 @@
         items.paused(ms(100), key, false);
     }
     endpoints.rows[0].online_here = 0;
-    // Not at once: the slot may be wanted again before the others' news of it have come.
+    // Not at once: the slot may be needed again before the reports of other VMs have arrived.
     assert_eq!(starts(&plan(&mut items, ms(200), &endpoints, &usage)), 0);
-    let later = ms(100) + YIELDED_PAUSE;
+    let later = ms(100) + PREEMPTED_RETRY_AFTER;
     assert_eq!(starts(&plan(&mut items, later, &endpoints, &usage)), 3);
 }
 
-// A job misses its time although engines were free for half of it: online load fills the fleet, and
-// items wait until it ends. Items that can wait no longer keep some slots; before that they keep none.
+// An online load fills the fleet for so long that waiting items miss their due time. Items that
+// can't wait any longer keep some slots; before that they keep none.
 #[test]
 fn urgent_items_stay() {
     let mut endpoints = endpoints(1);
@@ -103,7 +105,7 @@
     let mut items = items(SLOTS, ms(18_000));
     plan(&mut items, ms(0), &endpoints, &usage);
     endpoints.rows[0].online_here = SLOTS;
-    let kept = (f64::from(SLOTS) * KEPT_SHARE) as usize;
+    let kept = (f64::from(SLOTS) * URGENT_SLOT_SHARE) as usize;
     let all = plan(&mut items.clone(), ms(100), &endpoints, &usage);
     assert_eq!(stops(&all).len(), SLOTS as usize);
     let late = plan(&mut items, ms(17_000), &endpoints, &usage);
@@ -116,7 +118,7 @@
     let mut items = items(SLOTS, ms(18_000));
     for item in 0..SLOTS {
         items.add(ms(0), key("sooner", item), SERVICE, ms(9_000));
-        // Late already: little left to win.
+        // Already late: running it sooner gains little.
         items.add(ms(0), key("late", item), SERVICE, ms(10));
     }
     let started = plan(&mut items, ms(100), &endpoints, &Usage::default());
@@ -146,8 +148,9 @@
     assert_ne!(endpoint, other);
 }
 
-// Every VM sees the same burst at an engine and each takes back as many items as are too much: the
-// engine stands half empty. Each works out its own part from the same counts.
+// Several VMs have items at an engine that receives a burst. If each VM preempted the whole excess,
+// the engine would be left half empty, so each VM computes its own part of the excess from the same
+// counts.
 #[test]
 fn shared_burden() {
     let mut endpoints = endpoints(1);
@@ -173,7 +176,7 @@
     let mut items = items(4, ms(18_000));
     let draining = ItemPlanner {
         vm: VM,
-        domain: HOME,
+        domain: LOCAL_DOMAIN,
         rivals: &[],
         starting: false,
     };
@@ -182,7 +185,8 @@
 }
 
 quickcheck! {
-    // Whatever the counts, the parts of all VMs together are what is too much, or all there is.
+    // For any counts, the parts of all VMs add up to the excess, or to all items if there are
+    // fewer.
     fn parts_add_up(excess: u8, counts: Vec<u8>) -> bool {
         let rows: Vec<(u64, u32)> = counts
             .iter()
--- a/tests/stopped_runs.rs
+++ b/tests/stopped_runs.rs
@@ -1,4 +1,4 @@
-//! Runs that are taken back while their answer arrives.
+//! Batch runs that are preempted while their answer arrives.
 
 use std::io::Write;
 use std::time::Duration;
@@ -18,36 +18,36 @@
     LocalSet::new().block_on(&runtime, what)
 }
 
-// An item that can never be done goes to engines for ever: each time its run is taken back for online
-// requests just when the answer has come. The bytes are in the socket, no task has read them yet, and
-// the stop is there first. The answer counts all the same.
+// The answer is in the socket, but no task has read it when the run is preempted. The answer still
+// counts. Otherwise an item that is always rejected can be sent to engines without end, when each
+// run is preempted just as its answer arrives.
 #[test]
 fn answer_has_come() {
     let answer = run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-        let mut near = TcpStream::connect(listener.local_addr().unwrap())
+        let mut client = TcpStream::connect(listener.local_addr().unwrap())
             .await
             .unwrap();
-        let (far, _) = listener.accept().await.unwrap();
+        let (server, _) = listener.accept().await.unwrap();
         let (sender, read) = oneshot::channel();
         spawn_local(async move {
             let mut answer = [0; 3];
-            near.read_exact(&mut answer).await.unwrap();
+            client.read_exact(&mut answer).await.unwrap();
             sender.send(answer).unwrap();
         });
         let stop = Notify::new();
         let waiting = unless_stopped(read, &stop);
         tokio::pin!(waiting);
-        let early = tokio::time::timeout(Duration::from_millis(20), &mut waiting).await;
-        assert!(early.is_err());
-        far.into_std().unwrap().write_all(b"422").unwrap();
+        let before_stop = tokio::time::timeout(Duration::from_millis(20), &mut waiting).await;
+        assert!(before_stop.is_err());
+        server.into_std().unwrap().write_all(b"422").unwrap();
         stop.notify_one();
         waiting.await
     });
     assert_eq!(answer, Some(Ok(*b"422")));
 }
 
-// With nothing on its way, a stop ends the work at once.
+// Without an answer in the socket, a stop ends the run at once.
 #[test]
 fn nothing_has_come() {
     let answer = run(async {
