--- a/src/decide/orders.rs
+++ b/src/decide/orders.rs
@@ -1,9 +1,11 @@
-//! Orders to endpoints, towards the configured state, by one VM of a failure domain at a time.
+//! Sends orders to endpoints to load the configured models, from one VM of a failure domain at a
+//! time.
 //!
-//! The holder of a lease takes a fencing number that is one higher than any before it. Endpoints that
-//! check the number refuse a holder that was paused past its lease. For those that don't, the holder
-//! stops a margin before its lease can end by its own clock, and its successor waits the margin out
-//! before it gives its first order; orders name the whole wanted state, so a doubled one is harmless.
+//! The holder of a lease takes a fencing number that is one higher than any earlier one. Endpoints
+//! that check the number refuse a holder that was paused past its lease. For endpoints that don't
+//! check it, the holder stops a margin before its lease can expire by its own clock, and its
+//! successor waits for the same margin before its first order. Orders carry the complete target
+//! state, so a duplicate is harmless.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,22 +17,22 @@
 
 /// Length of the lease.
 pub const LEASE: Duration = Duration::from_secs(6);
-/// Time between two renewals.
-pub const RENEW: Duration = Duration::from_secs(2);
-/// The holder gives no order in the last part of its lease, and its successor none in the first of
-/// its own: longer than an order may be under way.
-pub const MARGIN: Duration = Duration::from_secs(2);
-/// Time between two tries for the lease.
-pub const TRY: Duration = Duration::from_secs(2);
-/// Time after which an endpoint that does not report the wanted state is ordered again.
-pub const AGAIN: Duration = Duration::from_secs(4);
-/// Loads that one failure domain may start within [`SPACING`]; keeps the weight store within its
-/// rate when a configuration changes every endpoint at once.
-pub const LOADS: usize = 4;
-/// See [`LOADS`].
-pub const SPACING: Duration = Duration::from_secs(2);
+/// Interval between renewals.
+pub const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(2);
+/// The holder sends no order in the last part of its lease, and its successor none in the first
+/// part of its own: longer than an order may be in flight.
+pub const LEASE_MARGIN: Duration = Duration::from_secs(2);
+/// Interval between attempts to acquire the lease.
+pub const LEASE_RETRY_AFTER: Duration = Duration::from_secs(2);
+/// Time after which an endpoint that does not report the target state is sent the order again.
+pub const ORDER_RETRY_AFTER: Duration = Duration::from_secs(4);
+/// Model loads that one failure domain may start within [`LOADS_WINDOW`]; keeps the weight store
+/// within its rate limit when a configuration changes every endpoint at once.
+pub const LOADS_MAX: usize = 4;
+/// See [`LOADS_MAX`].
+pub const LOADS_WINDOW: Duration = Duration::from_secs(2);
 
-/// The record that keeps the fencing number for ever.
+/// The record that keeps the fencing number permanently.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct FenceRecord {
     pub fence: Epoch,
@@ -38,7 +40,7 @@
     pub nonce: Nonce,
 }
 
-/// What one endpoint should have loaded, and has.
+/// Models that one endpoint should have loaded, and those that it reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointModels {
     pub endpoint: EndpointId,
@@ -46,10 +48,10 @@
     pub reported: Option<Vec<Name>>,
 }
 
-/// What the host is to do.
+/// What the host has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask for a lease and create the key of the holder with it; answer with [`Orders::leased`].
+    /// Request a lease and create the holder's key with it; answer with [`Orders::lease_answered`].
     Lease,
     Renew {
         lease: u64,
@@ -72,8 +74,8 @@
     Idle {
         try_at: Duration,
     },
-    Asked,
-    /// Holds the lease; the fencing number is not its own yet.
+    Requested,
+    /// Holds the lease, but has not written its fencing number yet.
     Fencing {
         lease: u64,
         until: Duration,
@@ -87,12 +89,12 @@
     },
 }
 
-/// The state of orders at one VM.
+/// State of the orders at one VM.
 #[derive(Debug)]
 pub struct Orders {
-    own: VmId,
+    local_vm: VmId,
     phase: Phase,
-    /// When the call under way was sent; a lease counts from there.
+    /// When the pending lease call was sent; the lease duration counts from then.
     sent_at: Duration,
     renew_at: Duration,
     renewing: bool,
@@ -102,10 +104,10 @@
 }
 
 impl Orders {
-    /// A VM that holds nothing; `nonce` must be random.
-    pub fn new(own: VmId, nonce: Nonce) -> Orders {
+    /// A VM without the lease; `nonce` must be random.
+    pub fn new(local_vm: VmId, nonce: Nonce) -> Orders {
         Orders {
-            own,
+            local_vm,
             phase: Phase::Idle {
                 try_at: Duration::ZERO,
             },
@@ -118,28 +120,28 @@
         }
     }
 
-    /// The fencing number, while orders may be given.
+    /// The fencing number, while orders may be sent.
     pub fn fence(&self, now: Duration) -> Option<Epoch> {
         match self.phase {
             Phase::Holding {
                 until, fence, from, ..
-            } if from <= now && now + MARGIN < until => Some(fence),
+            } if from <= now && now + LEASE_MARGIN < until => Some(fence),
             _ => None,
         }
     }
 
-    /// Does what is due; `candidate` tells whether this VM is to try for the lease.
+    /// Does what is due; `candidate` is whether this VM should try to get the lease.
     pub fn tick(
         &mut self,
         now: Duration,
         candidate: bool,
-        wanted: &[EndpointModels],
+        targets: &[EndpointModels],
         out: &mut Vec<Action>,
     ) {
         self.expire(now);
         match &self.phase {
             Phase::Idle { try_at } if candidate && now >= *try_at => {
-                self.phase = Phase::Asked;
+                self.phase = Phase::Requested;
                 self.sent_at = now;
                 out.push(Action::Lease);
             }
@@ -151,35 +153,37 @@
             _ => {}
         }
         if let Some(fence) = self.fence(now) {
-            self.order(now, fence, wanted, out);
+            self.send_orders(now, fence, targets, out);
         }
     }
 
-    /// Past its end by this VM's own clock a lease is lost, whatever the platform would say.
+    /// A lease that has expired by this VM's own clock is lost, whatever the store would answer.
     fn expire(&mut self, now: Duration) {
         let until = match self.phase {
             Phase::Fencing { until, .. } | Phase::Holding { until, .. } => until,
             _ => return,
         };
         if now >= until {
-            self.lose(now);
+            self.lose_lease(now);
         }
     }
 
-    fn lose(&mut self, now: Duration) {
-        self.phase = Phase::Idle { try_at: now + TRY };
+    fn lose_lease(&mut self, now: Duration) {
+        self.phase = Phase::Idle {
+            try_at: now + LEASE_RETRY_AFTER,
+        };
         self.renewing = false;
         self.ordered_at.clear();
     }
 
-    /// The lease was had, with the holder's key; `None` when another VM has it or the platform is
-    /// away.
+    /// Applies the answer to a lease request; `None` when another VM has the lease or the store is
+    /// unavailable.
     pub fn leased(&mut self, now: Duration, lease: Option<u64>, out: &mut Vec<Action>) {
-        if self.phase != Phase::Asked {
+        if self.phase != Phase::Requested {
             return;
         }
         let Some(lease) = lease else {
-            return self.lose(now);
+            return self.lose_lease(now);
         };
         let until = self.sent_at + LEASE;
         self.phase = Phase::Fencing {
@@ -190,20 +194,20 @@
         out.push(Action::ReadFence);
     }
 
-    /// A renewal was answered; `None` when it is not known whether it was made.
+    /// Applies the answer to a renewal; `None` when it is unknown whether the renewal took effect.
     pub fn renewed(&mut self, now: Duration, alive: Option<bool>) {
         self.renewing = false;
-        self.renew_at = now + RENEW;
+        self.renew_at = now + LEASE_RENEW_INTERVAL;
         let sent_at = self.sent_at;
         match (&mut self.phase, alive) {
             (Phase::Holding { until, .. }, Some(true)) => *until = sent_at + LEASE,
-            (Phase::Holding { .. }, Some(false)) => self.lose(now),
-            // In doubt the lease counts as it did before.
+            (Phase::Holding { .. }, Some(false)) => self.lose_lease(now),
+            // When in doubt, the lease keeps its previous end.
             _ => {}
         }
     }
 
-    /// The fence record was read; `None` when that failed.
+    /// Applies a read of the fence record; `None` when the read failed.
     pub fn fence_read(
         &mut self,
         now: Duration,
@@ -214,30 +218,30 @@
             return;
         };
         let Some(found) = found else {
-            return self.lose(now);
+            return self.lose_lease(now);
         };
         let (revision, fence) = found.as_ref().map_or((0, 0), |(r, old)| (*r, old.fence));
-        if let (Some(own), Some((_, standing))) = (record.as_ref(), found.as_ref()) {
-            if own.nonce == standing.nonce {
-                // The answer to the write was lost, and it took effect.
-                let own = own.clone();
-                return self.hold(now, &own);
+        if let (Some(written), Some((_, current))) = (record.as_ref(), found.as_ref()) {
+            if written.nonce == current.nonce {
+                // The answer to the write was lost, but the write took effect.
+                let written = written.clone();
+                return self.hold(now, &written);
             }
         }
         self.nonce = self.nonce.wrapping_add(1);
-        let fresh = FenceRecord {
+        let new_record = FenceRecord {
             fence: fence + 1,
-            holder: self.own,
+            holder: self.local_vm,
             nonce: self.nonce,
         };
-        *record = Some(fresh.clone());
+        *record = Some(new_record.clone());
         out.push(Action::WriteFence {
             expect: revision,
-            record: fresh,
+            record: new_record,
         });
     }
 
-    /// The fence record's write was answered.
+    /// Applies the answer to the write of the fence record.
     pub fn fence_written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
         let Phase::Fencing {
             record: Some(record),
@@ -250,7 +254,7 @@
         match answer {
             Answer::Won(_) => self.hold(now, &record),
             Answer::Lost | Answer::Unknown => out.push(Action::ReadFence),
-            Answer::Away => self.lose(now),
+            Answer::Away => self.lose_lease(now),
         }
     }
 
@@ -259,7 +263,7 @@
             return;
         };
         self.renew_at = now;
-        let (fence, from) = (record.fence, now + MARGIN);
+        let (fence, from) = (record.fence, now + LEASE_MARGIN);
         self.phase = Phase::Holding {
             lease,
             until,
@@ -268,37 +272,38 @@
         };
     }
 
-    /// An endpoint refused an order as old: another holder has a higher number.
+    /// An endpoint refused an order as stale: another holder has a higher fencing number.
     pub fn refused(&mut self, now: Duration) {
-        self.lose(now);
+        self.lose_lease(now);
     }
 
-    fn order(
+    fn send_orders(
         &mut self,
         now: Duration,
         fence: Epoch,
-        wanted: &[EndpointModels],
+        targets: &[EndpointModels],
         out: &mut Vec<Action>,
     ) {
-        self.loads.retain(|at| now < *at + SPACING);
-        for row in wanted {
-            // What an endpoint has is known only from itself.
-            let Some(reported) = &row.reported else {
+        self.loads.retain(|at| now < *at + LOADS_WINDOW);
+        for target in targets {
+            // Only an endpoint's own report shows what it has loaded.
+            let Some(reported) = &target.reported else {
                 continue;
             };
-            if same(reported, &row.models) {
-                self.ordered_at.remove(&row.endpoint);
+            if same_models(reported, &target.models) {
+                self.ordered_at.remove(&target.endpoint);
                 continue;
             }
-            let last = self.ordered_at.get(&row.endpoint);
-            if last.is_some_and(|at| now < *at + AGAIN) || self.loads.len() >= LOADS {
+            let last = self.ordered_at.get(&target.endpoint);
+            if last.is_some_and(|at| now < *at + ORDER_RETRY_AFTER) || self.loads.len() >= LOADS_MAX
+            {
                 continue;
             }
-            self.ordered_at.insert(row.endpoint, now);
+            self.ordered_at.insert(target.endpoint, now);
             self.loads.push(now);
-            let models = row.models.clone();
+            let models = target.models.clone();
             out.push(Action::Order {
-                endpoint: row.endpoint,
+                endpoint: target.endpoint,
                 fence,
                 models,
             });
@@ -306,6 +311,6 @@
     }
 }
 
-fn same(a: &[Name], b: &[Name]) -> bool {
+fn same_models(a: &[Name], b: &[Name]) -> bool {
     a.len() == b.len() && a.iter().all(|name| b.contains(name))
 }
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints, by one holder at a time.
+//! Orders to endpoints, by one lease holder at a time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     paused_until: u32,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     step: u32,
     outage: bool,
@@ -36,22 +36,22 @@
     next_lease: u64,
     fence: Option<(u64, FenceRecord)>,
     holders: Vec<Holder>,
-    /// Orders on their way: arrival, endpoint, fence, models.
-    sent: Vec<(u32, u64, u64, Vec<Name>)>,
-    /// What each endpoint has, and the highest number it took.
+    /// Orders in transit: arrival, endpoint, fencing number, models.
+    orders_in_transit: Vec<(u32, u64, u64, Vec<Name>)>,
+    /// Models loaded at each endpoint, and the highest fencing number that it received.
     endpoints: BTreeMap<u64, (Vec<Name>, u64)>,
     wanted: Vec<Name>,
-    old_taken: bool,
+    stale_order_applied: bool,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let holder = |own| Holder {
             orders: Orders::new(own, own << 32),
             replies: Vec::new(),
             paused_until: 0,
         };
-        World {
+        Simulation {
             rng: SmallRng::seed_from_u64(seed),
             step: 0,
             outage: false,
@@ -59,10 +59,10 @@
             next_lease: 0,
             fence: None,
             holders: (1..4).map(holder).collect(),
-            sent: Vec::new(),
+            orders_in_transit: Vec::new(),
             endpoints: (0..6).map(|at| (at, (Vec::new(), 0))).collect(),
             wanted: vec!["a@1".into()],
-            old_taken: false,
+            stale_order_applied: false,
         }
     }
 
@@ -70,7 +70,7 @@
         STEP * self.step
     }
 
-    fn away(&mut self) -> bool {
+    fn store_unavailable(&mut self) -> bool {
         self.outage || self.rng.random_bool(0.05)
     }
 
@@ -81,14 +81,14 @@
         }
         let reply = match action {
             Action::Lease => {
-                let won = !self.away() && self.lease.is_none();
+                let won = !self.store_unavailable() && self.lease.is_none();
                 if won {
                     self.next_lease += 1;
                     self.lease = Some((self.next_lease, now + LEASE));
                 }
                 Reply::Leased(won.then_some(self.next_lease))
             }
-            Action::Renew { lease } => match self.away() {
+            Action::Renew { lease } => match self.store_unavailable() {
                 true => Reply::Renewed(None),
                 false => {
                     let alive = self.lease.is_some_and(|(own, _)| own == lease);
@@ -99,8 +99,8 @@
                 }
             },
             Action::ReadFence => {
-                let away = self.away();
-                Reply::Read((!away).then(|| self.fence.clone()))
+                let store_unavailable = self.store_unavailable();
+                Reply::Read((!store_unavailable).then(|| self.fence.clone()))
             }
             Action::WriteFence { expect, record } => {
                 let standing = self.fence.as_ref().map_or(0, |(revision, _)| *revision);
@@ -119,10 +119,11 @@
                 fence,
                 models,
             } => {
-                // Under way for a little less than the margin; some are lost.
+                // In transit for a little less than the margin; some are lost.
                 if self.rng.random_bool(0.9) {
                     let arrival = self.step + self.rng.random_range(1..19);
-                    self.sent.push((arrival, endpoint, fence, models));
+                    self.orders_in_transit
+                        .push((arrival, endpoint, fence, models));
                 }
                 return;
             }
@@ -134,15 +135,16 @@
     fn run_step(&mut self) {
         self.step += 1;
         let (now, step) = (self.now(), self.step);
-        for (arrival, endpoint, fence, models) in std::mem::take(&mut self.sent) {
+        for (arrival, endpoint, fence, models) in std::mem::take(&mut self.orders_in_transit) {
             if arrival > step {
-                self.sent.push((arrival, endpoint, fence, models));
+                self.orders_in_transit
+                    .push((arrival, endpoint, fence, models));
                 continue;
             }
-            // This endpoint checks nothing, so an old order would win.
-            let row = self.endpoints.get_mut(&endpoint).unwrap();
-            self.old_taken |= fence < row.1;
-            *row = (models, fence.max(row.1));
+            // This endpoint does not check fencing numbers, so it applies stale orders.
+            let state = self.endpoints.get_mut(&endpoint).unwrap();
+            self.stale_order_applied |= fence < state.1;
+            *state = (models, fence.max(state.1));
         }
         for at in 0..self.holders.len() {
             if self.rng.random_bool(0.003) {
@@ -184,33 +186,34 @@
 }
 
 quickcheck! {
-    // Holders pause past their lease and wake, the platform goes away, answers and orders are lost.
-    // The endpoints check nothing, and yet no order of an earlier holder arrives after one of a later
-    // holder; at most one VM may order at a time; and all endpoints come to the wanted state.
+    // Holders resume from pauses longer than their lease, the store becomes unavailable, answers
+    // and orders are lost. The endpoints don't check fencing numbers, yet no order of an earlier
+    // holder arrives after one of a later holder; at most one VM may send orders at a time; and all
+    // endpoints reach the target state.
     fn one_orders(seed: u64) -> bool {
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..1_500 {
-            if world.rng.random_bool(0.005) {
-                world.outage = !world.outage;
+            if simulation.rng.random_bool(0.005) {
+                simulation.outage = !simulation.outage;
             }
-            if world.rng.random_bool(0.005) {
-                let version = world.rng.random_range(1..9);
-                world.wanted = vec![format!("a@{version}").as_str().into()];
+            if simulation.rng.random_bool(0.005) {
+                let version = simulation.rng.random_range(1..9);
+                simulation.wanted = vec![format!("a@{version}").as_str().into()];
             }
-            world.run_step();
-            let now = world.now();
-            let awake = world.holders.iter().filter(|holder| holder.paused_until <= world.step);
+            simulation.run_step();
+            let now = simulation.now();
+            let awake = simulation.holders.iter().filter(|holder| holder.paused_until <= simulation.step);
             if awake.filter(|holder| holder.orders.fence(now).is_some()).count() > 1 {
                 return false;
             }
         }
-        world.outage = false;
-        world.holders.iter_mut().for_each(|holder| holder.paused_until = 0);
+        simulation.outage = false;
+        simulation.holders.iter_mut().for_each(|holder| holder.paused_until = 0);
         for _ in 0..600 {
-            world.run_step();
+            simulation.run_step();
         }
-        let wanted = world.wanted.clone();
-        !world.old_taken && world.endpoints.values().all(|(models, _)| *models == wanted)
+        let wanted = simulation.wanted.clone();
+        !simulation.stale_order_applied && simulation.endpoints.values().all(|(models, _)| *models == wanted)
     }
 }
 
@@ -222,9 +225,9 @@
         .clone()
 }
 
-// Operators change a model's version. Each engine is ordered to it by the VM that holds the lease;
-// when that VM is killed another one goes on, with a higher number, and engines that check refuse
-// the old one.
+// An operator changes a model's version. The VM that holds the lease orders each engine to load it;
+// when that VM is killed, another one takes over with a higher fencing number, and engines that
+// check the number refuse the old one.
 #[test]
 fn engines_ordered() {
     let mut fleet = Fleet::start(
@@ -236,7 +239,7 @@
         },
     )
     .unwrap();
-    let settled = |fleet: &Fleet, wanted: &str| {
+    let wait_for_models = |fleet: &Fleet, wanted: &str| {
         let until = clock::now() + Duration::from_secs(25);
         while (0..2).any(|engine| models(fleet, engine) != json!([wanted])) {
             assert!(
@@ -248,14 +251,14 @@
             clock::sleep(Duration::from_millis(100));
         }
     };
-    settled(&fleet, "permit-7b@1");
+    wait_for_models(&fleet, "permit-7b@1");
     fleet.entries[0].kill();
     fleet.batches[0].kill();
     let folder = fleet.folder.join("config");
     let versions = json!([{ "model": "permit-7b", "version": "2" }]).to_string();
     std::fs::write(folder.join("versions.json"), versions).unwrap();
     fleet.apply(&folder).unwrap();
-    settled(&fleet, "permit-7b@2");
+    wait_for_models(&fleet, "permit-7b@2");
     let body = json!({ "fence": 0, "models": ["old"] }).to_string();
     let address = fleet.engines[0].address;
     let answer =
