--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -43,7 +43,8 @@
 pub const FINISH_RATE_WINDOW: Duration = Duration::from_secs(8);
 /// Bounds of the `Retry-After` time of a refused caller.
 pub const RETURN_MIN: Duration = Duration::from_millis(500);
-/// Used while no tokens are finished, since the time until there is capacity is unknown then.
+/// Also used while no tokens are finished: the time until there is capacity is unknown then, and one
+/// poll in this interval is enough.
 pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(20);
 
 /// Hash of a route's name, and of the workspace when its items are counted separately.
--- a/src/decide/batch.rs
+++ b/src/decide/batch.rs
@@ -92,7 +92,7 @@
     /// All jobs that have not ended.
     Jobs(Vec<JobView>),
     Crew(BatchPeers),
-    /// Current batch items limit of each endpoint that is assigned to this VM.
+    /// Number of batch items allowed now at each endpoint that is assigned to this VM.
     Windows(Vec<(EndpointId, ServiceId, u32)>),
     /// Weight of each workspace among those with batch work.
     Shares(HashMap<Name, f64>),
--- a/src/decide/orders.rs
+++ b/src/decide/orders.rs
@@ -85,7 +85,7 @@
         lease: u64,
         until: Duration,
         fence: Epoch,
-        from: Duration,
+        orders_from: Duration,
     },
 }
 
@@ -124,8 +124,11 @@
     pub fn fence(&self, now: Duration) -> Option<Epoch> {
         match self.phase {
             Phase::Holding {
-                until, fence, from, ..
-            } if from <= now && now + LEASE_MARGIN < until => Some(fence),
+                until,
+                fence,
+                orders_from,
+                ..
+            } if orders_from <= now && now + LEASE_MARGIN < until => Some(fence),
             _ => None,
         }
     }
@@ -263,12 +266,12 @@
             return;
         };
         self.renew_at = now;
-        let (fence, from) = (record.fence, now + LEASE_MARGIN);
+        let (fence, orders_from) = (record.fence, now + LEASE_MARGIN);
         self.phase = Phase::Holding {
             lease,
             until,
             fence,
-            from,
+            orders_from,
         };
     }
 
