--- a/src/serve.rs
+++ b/src/serve.rs
@@ -1,7 +1,7 @@
-//! One serving process on one event loop: callers on one side, endpoints on the other.
+//! A serving process: one event loop between callers and endpoints.
 //!
-//! A deployment's adapter supplies the [`dialect::Dialect`] and the [`crate::store::Store`]; all else
-//! is the same everywhere. What decides is in [`crate::decide`].
+//! A deployment's adapter supplies the [`dialect::Dialect`] and the [`crate::store::Store`]; all
+//! else is the same in every deployment. Decisions are made in [`crate::decide`].
 
 pub mod admit;
 pub mod ask;
@@ -50,11 +50,11 @@
 use crate::settings;
 use crate::store::Store;
 
-/// Time between two looks at queues and timeouts: short beside the time to first token that callers
-/// are promised, and a hundredth of a core's work at most.
-const TICK: Duration = Duration::from_millis(25);
+/// Interval at which queues and timeouts are checked: short compared with the first-token goals of
+/// the routes, and at most a hundredth of a core's work.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Runs a serving process until it is told to stop.
+/// Runs a serving process until a signal stops it.
 pub fn run(
     settings: settings::Serve,
     dialect: Dialect,
@@ -72,7 +72,7 @@
     })
 }
 
-/// Opens the listeners and starts everything that runs until the process ends.
+/// Opens the listeners and starts the tasks that run until the process ends.
 async fn start(node: &Rc<Node>) -> std::io::Result<()> {
     let settings = &node.settings;
     log::info!(
@@ -91,13 +91,13 @@
     spawn_local(inside::serve(
         node.clone(),
         ready,
-        inside::PAGE_LIFE,
+        inside::PAGE_CONNECTION_LIFETIME_MAX,
         inside::readiness,
     ));
     spawn_local(inside::serve(
         node.clone(),
         operators,
-        inside::PAGE_LIFE,
+        inside::PAGE_CONNECTION_LIFETIME_MAX,
         inside::operators,
     ));
     spawn_local(inside::serve(
@@ -124,7 +124,8 @@
     Ok(())
 }
 
-/// Where the first heartbeats go: the other VMs listen on the same port.
+/// Addresses that receive the first heartbeats: the configured peers, which listen on the same
+/// gossip port as this VM.
 fn seeds(settings: &settings::Serve) -> Vec<SocketAddr> {
     let port = settings.gossip_address.port();
     let own = settings.gossip_address;
@@ -137,7 +138,7 @@
 
 async fn tick(node: Rc<Node>) {
     loop {
-        sleep(TICK).await;
+        sleep(TICK_INTERVAL).await;
         node.tick();
     }
 }
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -1,4 +1,4 @@
-//! Lets batch jobs in below the limit on tokens that wait on their route.
+//! Admits batch jobs as long as the tokens waiting on their route stay below its limit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,15 +17,16 @@
 use crate::store::{Settled, Txn};
 use crate::util;
 
-/// Prefix of the records with reservations.
-const LIMITS: &str = "small/limit/";
-/// Time for one write of a reservation; callers wait 4 s for all of a submission.
-const SETTLE_MAX: Duration = Duration::from_millis(1000);
-/// Tries against other VMs' reservations. Each lost try means that another job came in.
-const RESERVE_TRIES: usize = 4;
+/// Key prefix of the reservation records in the store.
+const RESERVATIONS_PREFIX: &str = "small/limit/";
+/// Timeout of one write of a reservation; callers wait 4 s for a whole submission.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Attempts to write a reservation against concurrent writes of other VMs. Each lost attempt means
+/// that another job was admitted.
+const RESERVE_ATTEMPTS_MAX: usize = 4;
 
-/// Lets a job in, or says what to answer instead. What is let in must be told to
-/// [`settled`] once its write has ended.
+/// Admits a job, or returns the refusal. The result of an admitted job's write must be passed to
+/// [`note_write`].
 pub async fn admit(node: &Rc<Node>, route: &Route, record: &Record) -> Result<(), Reply> {
     let Some(limit_tokens) = route.waiting_tokens_max else {
         return Ok(());
@@ -38,7 +39,7 @@
     let workspace = &record.workspace;
     let way = {
         let now = clock::now();
-        let view = view(node, now, key, limit_tokens);
+        let view = backlog_view(node, now, key, limit_tokens);
         let mut core = node.core.borrow_mut();
         let way = core
             .backlog
@@ -57,24 +58,26 @@
     match way {
         AdmissionPath::Share => Ok(()),
         AdmissionPath::Reserve => reserve(node, key, workspace, limit_tokens, &asked).await,
-        AdmissionPath::Full => Err(full(node, key, workspace, limit_tokens, &asked).await),
+        AdmissionPath::Full => {
+            Err(refuse_or_repeat(node, key, workspace, limit_tokens, &asked).await)
+        }
     }
 }
 
-/// Takes note of how the write of a job ended that was let in.
+/// Records how the write of an admitted job ended.
 pub fn settled(node: &Node, job: &JobId, settled: &Settled) {
     let now = clock::now();
     let mut core = node.core.borrow_mut();
     match settled {
         Settled::Won(_) => core.backlog.job_written(now, job),
-        // It was accepted before, by another VM, or nothing was written.
+        // The job was accepted earlier or by another VM, or nothing was written.
         Settled::Lost(_) | Settled::Away(_) => core.backlog.job_abandoned(job),
-        // It may still take effect, so it counts on for a while.
+        // The write may still take effect, so the job stays counted for a while.
         Settled::Unknown(_) => {}
     }
 }
 
-/// Keeps up with what waits on the routes with a limit.
+/// Records how many tokens wait on each route that has a limit.
 pub fn look(node: &Node, now: Duration) {
     let Some(routes) = node.routes() else {
         return;
@@ -83,7 +86,7 @@
         if let Some(limit_tokens) = route.waiting_tokens_max {
             let keys = node.core.borrow().jobs.route_keys(&route.name);
             for key in keys {
-                let waiting = view(node, now, key, limit_tokens).waiting_tokens;
+                let waiting = backlog_view(node, now, key, limit_tokens).waiting_tokens;
                 let mut core = node.core.borrow_mut();
                 core.backlog.note_waiting(now, key, waiting);
             }
@@ -91,7 +94,7 @@
     }
 }
 
-fn view(node: &Node, now: Duration, route: RouteKey, limit_tokens: u64) -> BacklogView {
+fn backlog_view(node: &Node, now: Duration, route: RouteKey, limit_tokens: u64) -> BacklogView {
     let core = node.core.borrow();
     let by_records = core.jobs.open_tokens(route);
     let by_word = core.jobs.open_tokens_of(route, |owner| {
@@ -101,7 +104,7 @@
     let writing = core
         .backlog
         .being_written(route, |job| core.jobs.rows.contains_key(job));
-    // In a large fleet the records here lag behind what is listed.
+    // In a large fleet the local records lag behind the totals that VMs report.
     let known = if core.peers.is_large() {
         told
     } else {
@@ -114,8 +117,8 @@
     }
 }
 
-/// Operators who allow more than the limit for a while leave half of that for what is let in at once in
-/// several places, and half for what nobody has heard of.
+/// Raises the limit by half of the overage that operators allow. The other half is left for jobs
+/// that other VMs admit at the same time and have not reported yet.
 fn with_overage(limit_tokens: u64, overage: f64) -> u64 {
     (limit_tokens as f64 * (1.0 + overage / 2.0)) as u64
 }
@@ -127,11 +130,11 @@
     limit_tokens: u64,
     asked: &Reserved,
 ) -> Result<(), Reply> {
-    let key = format!("{LIMITS}{route:016x}");
-    let (mut before, mut revision) = read(node, &key).await?;
-    for _ in 0..RESERVE_TRIES {
+    let key = format!("{RESERVATIONS_PREFIX}{route:016x}");
+    let (mut before, mut revision) = read_reservations(node, &key).await?;
+    for _ in 0..RESERVE_ATTEMPTS_MAX {
         let now = clock::now();
-        let view = view(node, now, route, limit_tokens);
+        let view = backlog_view(node, now, route, limit_tokens);
         let after = {
             let mut guard = node.core.borrow_mut();
             let core = &mut *guard;
@@ -141,14 +144,14 @@
                 .reserve(now, route, &before, asked, view, known, nonce)
         };
         let Some(after) = after else {
-            return Err(full(node, route, workspace, limit_tokens, asked).await);
+            return Err(refuse_or_repeat(node, route, workspace, limit_tokens, asked).await);
         };
         let txn = Txn {
             expect: vec![(key.clone(), revision)],
             writes: vec![write(key.clone(), encode(&after))],
             deletes: Vec::new(),
         };
-        match node.store.commit(txn, SETTLE_MAX).await {
+        match node.store.commit(txn, WRITE_TIMEOUT).await {
             Settled::Won(_) => {
                 let now = clock::now();
                 node.core.borrow_mut().backlog.reserved(now, route, asked);
@@ -161,40 +164,42 @@
             Settled::Lost(None) => (before, revision) = (Reservations::default(), 0),
             Settled::Away(detail) | Settled::Unknown(detail) => {
                 log::warn!(job = *asked.job, detail; "job refused: no reservation could be written");
-                return Err(away());
+                return Err(store_unavailable());
             }
         }
     }
     log::info!(job = *asked.job; "job refused: other VMs' reservations came first each time");
-    Err(away())
+    Err(store_unavailable())
 }
 
-async fn read(node: &Node, key: &str) -> Result<(Reservations, Revision), Reply> {
+async fn read_reservations(node: &Node, key: &str) -> Result<(Reservations, Revision), Reply> {
     match node.store.get(key).await {
         Ok(Some(item)) => Ok((decode(key, &item.value), item.revision)),
         Ok(None) => Ok((Reservations::default(), 0)),
         Err(error) => {
             log::warn!(key, error:% = error; "reservations can't be read");
-            Err(away())
+            Err(store_unavailable())
         }
     }
 }
 
 fn decode(key: &str, value: &[u8]) -> Reservations {
     serde_json::from_slice(value).unwrap_or_else(|error| {
-        // Written anew; what it held is known from the jobs' records within moments.
+        // The record is written anew; its content is recovered from the jobs' records shortly
+        // after.
         log::error!(key, error:% = error; "reservations can't be read");
         Reservations::default()
     })
 }
 
-fn away() -> Reply {
+fn store_unavailable() -> Reply {
     replies::refusal(RefusalKind::PlatformAway, true, Some(RETURN_MIN))
 }
 
-/// The answer to a job that has no room. One that was accepted before, and comes again because its
-/// caller never saw the answer, is accepted again: only the store knows of all jobs.
-async fn full(
+/// The reply to a job that exceeds the limit. A job that was accepted before, and is submitted
+/// again because its caller never received the reply, is accepted again. Only the store has every
+/// job.
+async fn refuse_or_repeat(
     node: &Rc<Node>,
     route: RouteKey,
     workspace: &Option<Name>,
@@ -206,10 +211,10 @@
         return accepted_before(record, workspace);
     }
     if standing.is_err_and(|reply| reply.status() != 404) {
-        return away();
+        return store_unavailable();
     }
     let now = clock::now();
-    let view = view(node, now, route, limit_tokens);
+    let view = backlog_view(node, now, route, limit_tokens);
     let core = node.core.borrow();
     let after = core.backlog.return_after(now, route, asked.tokens, view);
     log::info!(
--- a/src/serve/body.rs
+++ b/src/serve/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of replies to callers.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -8,32 +8,32 @@
 use snafu::Snafu;
 use tokio::sync::mpsc::Receiver;
 
-/// The answer can't be completed; the connection is closed so that the caller sees it.
+/// The reply can't be completed; the connection is closed so that the caller notices.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
 #[snafu(display("the answer broke off"))]
-pub struct BrokenOff;
+pub struct BodyAborted;
 
-/// A piece of a stream, or its failure.
-pub type Piece = Result<Bytes, BrokenOff>;
+/// A chunk of a stream, or its failure.
+pub type Chunk = Result<Bytes, BodyAborted>;
 
-/// A body that is whole, or comes piece by piece.
+/// A complete body, or one that is streamed in chunks.
 pub enum ReplyBody {
     Whole(Option<Bytes>),
-    /// Dropping it tells the sender that the caller has left.
-    Pieces(Receiver<Piece>),
+    /// Dropping the receiver tells the sender that the caller has disconnected.
+    Chunks(Receiver<Chunk>),
 }
 
 impl Body for ReplyBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = BodyAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
             ReplyBody::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            ReplyBody::Pieces(pieces) => {
+            ReplyBody::Chunks(pieces) => {
                 let piece = pieces.poll_recv(context);
                 piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
             }
@@ -49,7 +49,7 @@
             ReplyBody::Whole(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            ReplyBody::Pieces(_) => SizeHint::default(),
+            ReplyBody::Chunks(_) => SizeHint::default(),
         }
     }
 }
--- a/src/serve/callers.rs
+++ b/src/serve/callers.rs
@@ -1,4 +1,4 @@
-//! Takes connections from callers and sorts what comes on them.
+//! Accepts connections from callers and dispatches their requests.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -32,20 +32,20 @@
 use crate::pages;
 use crate::util;
 
-/// When to come back to a VM that can't tell whether its rules are the newest: a proof comes each 0.6 s, or each
-/// second in a large fleet.
-const UNSURE_RETRY: Duration = Duration::from_millis(700);
-/// When to come back to a VM that knows no rules yet; it has read them within a second.
-const STARTING_RETRY: Duration = Duration::from_millis(500);
-/// Bounds before any rules are known.
+/// `Retry-After` of a VM that can't confirm that its configuration is the newest: the store
+/// confirms it every 0.6 s, or every second in a large fleet.
+const UNCONFIRMED_RETRY_AFTER: Duration = Duration::from_millis(700);
+/// `Retry-After` of a VM that has no configuration yet; it reads one within a second.
+const STARTING_RETRY_AFTER: Duration = Duration::from_millis(500);
+/// Limits that apply until the first configuration is loaded.
 const HEAD_BYTES_DEFAULT: usize = 16 * 1024;
-const IDLE_DEFAULT: Duration = Duration::from_secs(15);
-/// The library takes no smaller buffer.
+const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(15);
+/// The smallest buffer that hyper accepts.
 const BUFFER_BYTES_MIN: usize = 8 * 1024;
-/// Time for a body to arrive once its head has; callers on a bad link send small bodies too.
+/// Timeout for a body after its head; callers on slow links send small bodies too.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be taken, as when descriptors are used up.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Opens a listener on this thread's event loop.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
@@ -54,7 +54,7 @@
     TcpListener::from_std(listener)
 }
 
-/// Takes connections until the process has drained.
+/// Accepts connections until the process has drained.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     while node.listening.get() {
         let accepted = tokio::select! {
@@ -63,25 +63,25 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                tokio::task::spawn_local(connection(node.clone(), stream));
+                tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(error) => {
                 log::warn!(error:% = error; "connections can't be taken");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream) {
+async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     let limits = node.routes().map(|table| table.rules.limits.clone());
     let idle = limits
         .as_ref()
-        .map_or(IDLE_DEFAULT, |limits| limits.idle_timeout);
+        .map_or(IDLE_TIMEOUT_DEFAULT, |limits| limits.idle_timeout);
     let head_bytes = limits.map_or(HEAD_BYTES_DEFAULT, |limits| limits.head_bytes);
     let service = service_fn(|request| {
         let node = node.clone();
-        async move { Ok::<Reply, Infallible>(answer(node, request).await) }
+        async move { Ok::<Reply, Infallible>(handle(node, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -90,7 +90,7 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     let closing = node.closing.notified();
-    // An error is a caller that broke off or sent what is no request; the library has answered.
+    // An error is a caller that disconnected or sent an invalid request, which hyper has answered.
     tokio::select! {
         _ = connection.as_mut() => return,
         () = closing => connection.as_mut().graceful_shutdown(),
@@ -98,30 +98,30 @@
     let _ = connection.await;
 }
 
-async fn answer(node: Rc<Node>, request: Request<Incoming>) -> Reply {
-    let mut reply = route(node.clone(), request).await;
+async fn handle(node: Rc<Node>, request: Request<Incoming>) -> Reply {
+    let mut reply = dispatch(node.clone(), request).await;
     if node.is_draining() {
-        // The caller's next request goes to another VM.
+        // The caller's next request reaches another VM.
         let close = HeaderValue::from_static("close");
         reply.headers_mut().insert(CONNECTION, close);
     }
     reply
 }
 
-async fn route(node: Rc<Node>, request: Request<Incoming>) -> Reply {
+async fn dispatch(node: Rc<Node>, request: Request<Incoming>) -> Reply {
     let (head, body) = request.into_parts();
     let Some(routes) = node.routes() else {
         log::info!(path = head.uri.path(); "refused: no rules are known yet");
-        return replies::refusal(RefusalKind::NotReady, true, Some(STARTING_RETRY));
+        return replies::refusal(RefusalKind::NotReady, true, Some(STARTING_RETRY_AFTER));
     };
     let call = (node.dialect.call)(&head);
     if call == Call::Routed {
-        return routed(node, routes, head, body).await;
+        return serve_routed(node, routes, head, body).await;
     }
     let public = has_public_jobs(&routes.rules);
     let caller = match identify(&node, &routes, public, &head) {
         Ok(caller) => caller.name(),
-        Err(kind) => return unidentified(kind),
+        Err(kind) => return unidentified_reply(kind),
     };
     match call {
         Call::Results { job, after, wait } => {
@@ -129,18 +129,18 @@
         }
         Call::ItemBody { job, item } => jobs::item_body(node, &caller, job, item).await,
         Call::Cancel { job } => jobs::cancel(node, &caller, job).await,
-        // Returned above.
+        // Handled above.
         Call::Routed => replies::empty(404),
     }
 }
 
-/// Whether jobs may be submitted, and so looked at, without a key.
+/// Whether any batch route is public, so that jobs may be submitted and read without a key.
 fn has_public_jobs(rules: &Rules) -> bool {
     let mut routes = rules.routes.iter();
     routes.any(|route| route.kind == RouteKind::Batch && route.public)
 }
 
-/// Tells who asks, or why it can't be told.
+/// Identifies the caller, or returns why that is not possible.
 fn identify<'a>(
     node: &Node,
     routes: &'a RouteTable,
@@ -157,20 +157,20 @@
     caller.inspect_err(|kind| {
         let reason: &'static str = kind.into();
         let version = routes.rules.version;
-        let proof_age_ms = node.proof_age_ms(StoreSubject::Rules);
+        let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
         let path = head.uri.path();
         node.counters.refused.with_label_values(&[reason]).inc();
         log::info!(path, reason, version, proof_age_ms; "refused: no workspace is known by this key");
     })
 }
 
-/// The answer to a caller whose workspace is not known.
-fn unidentified(kind: RefusalKind) -> Reply {
-    let retry = (kind == RefusalKind::NotReady).then_some(UNSURE_RETRY);
+/// The reply to a caller that could not be identified.
+fn unidentified_reply(kind: RefusalKind) -> Reply {
+    let retry = (kind == RefusalKind::NotReady).then_some(UNCONFIRMED_RETRY_AFTER);
     replies::refusal(kind, true, retry)
 }
 
-async fn routed(
+async fn serve_routed(
     node: Rc<Node>,
     routes: Rc<RouteTable>,
     head: hyper::http::request::Parts,
@@ -179,20 +179,20 @@
     let ask = (node.dialect.ask)(&head);
     let Some(route) = routes.find(&ask.host, head.uri.path()) else {
         let version = routes.rules.version;
-        let proof_age_ms = node.proof_age_ms(StoreSubject::Rules);
+        let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
         let (host, path) = (ask.host, head.uri.path());
         let sure = node.core.borrow().proofs.are_rules_fresh(clock::now());
         log::info!(host, path, version, proof_age_ms, sure; "refused: no such route");
         return match sure {
             true => replies::refusal(RefusalKind::NotFound, true, None),
-            false => replies::refusal(RefusalKind::NotReady, true, Some(UNSURE_RETRY)),
+            false => replies::refusal(RefusalKind::NotReady, true, Some(UNCONFIRMED_RETRY_AFTER)),
         };
     };
     let caller = match identify(&node, &routes, route.public, &head) {
         Ok(caller) => caller,
-        Err(kind) => return unidentified(kind),
+        Err(kind) => return unidentified_reply(kind),
     };
-    let body = match read(body, routes.rules.limits.body_bytes).await {
+    let body = match read_body(body, routes.rules.limits.body_bytes).await {
         Ok(body) => body,
         Err(kind) => return replies::refusal(kind, true, None),
     };
@@ -205,7 +205,7 @@
         .map_or("/", |target| target.as_str());
     let mut headers = exchange::end_to_end(&head.headers);
     if routes.workspaces.is_some() {
-        // Endpoints are told whose request it is; the key is nobody else's business.
+        // Endpoints receive the workspace's name, never the key.
         headers.remove(AUTHORIZATION);
     }
     if let Ok(host) = HeaderValue::from_str(&ask.host) {
@@ -225,8 +225,8 @@
     online::serve(node, route, ask, out, shown, service).await
 }
 
-/// Reads a body whole.
-async fn read(body: Incoming, bytes_max: usize) -> Result<Bytes, RefusalKind> {
+/// Reads a whole body.
+async fn read_body(body: Incoming, bytes_max: usize) -> Result<Bytes, RefusalKind> {
     let read = Limited::new(body, bytes_max).collect();
     match timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
--- a/src/serve/counters.rs
+++ b/src/serve/counters.rs
@@ -1,54 +1,54 @@
-//! What a serving process counts and times.
+//! Metrics of a serving process.
 
 use prometheus::{Gauge, GaugeVec, Histogram, IntCounter, IntCounterVec};
 
 use crate::metrics::Metrics;
 
-/// Counters and histograms of one process.
+/// Counters, gauges and histograms of one process.
 pub struct Counters {
     pub metrics: Metrics,
-    /// Answers to callers, by route kind and outcome.
+    /// Replies to callers, by route kind and outcome.
     pub requests: IntCounterVec,
-    /// Refusals of this system's own, by reason.
+    /// Refusals by this system itself, by reason.
     pub refused: IntCounterVec,
-    /// Tries at endpoints, by outcome.
+    /// Attempts at endpoints, by outcome.
     pub attempts: IntCounterVec,
     /// New connections to endpoints.
     pub connections: IntCounter,
-    /// What became of endpoints, by transition and by whose word.
+    /// Transitions of endpoints, by transition and by the source that reported it.
     pub endpoint_transitions: IntCounterVec,
-    /// Runs under which their endpoint ended.
+    /// Runs during which their endpoint ended.
     pub ends: IntCounter,
-    /// What became of requests that endpoints ended under, by verdict and by whose word.
+    /// Quarantine verdicts on requests whose endpoints ended, by verdict and source.
     pub quarantine: IntCounterVec,
-    /// Requests that are held back.
+    /// Requests in quarantine.
     pub held: Gauge,
-    /// Runs and items that were not sent, since they are held back.
+    /// Runs and items that were not sent because their request is quarantined.
     pub held_back: IntCounter,
-    /// Endpoints that are used although their entries are gone.
+    /// Endpoints that stay in use although their entries are gone from the store.
     pub endpoints_kept: Gauge,
-    /// Age of the store's youngest word, by what it is on.
-    pub proof_age: GaugeVec,
-    /// Watches that had missed what another call on the store told.
+    /// Time since the store last confirmed a subject, by subject.
+    pub confirmation_age: GaugeVec,
+    /// Watches that missed a change which another call on the store reported.
     pub silent_watches: IntCounter,
     /// Calls on the metadata store, by kind and outcome.
     pub store_calls: IntCounterVec,
-    /// Batch items, by what happened to them.
+    /// Batch items, by event.
     pub items: IntCounterVec,
-    /// Slot-milliseconds that stood free beside waiting items, by reason.
-    pub idle_slots: IntCounterVec,
+    /// Milliseconds for which slots were free while items waited, by reason.
+    pub idle_slot_ms: IntCounterVec,
     /// Seconds from a job's submission to its acceptance.
     pub accepted: Histogram,
-    /// Jobs that came into this VM's hands, by how.
+    /// Jobs that this VM took over, by how.
     pub jobs: IntCounterVec,
     /// Seconds from a request's arrival to the first event for its caller.
-    pub first_event: Histogram,
-    /// Seconds from a request's arrival to the end of its answer.
-    pub whole: Histogram,
+    pub first_event_seconds: Histogram,
+    /// Seconds from a request's arrival to the end of its reply.
+    pub answer_seconds: Histogram,
 }
 
 impl Counters {
-    /// Counters at zero.
+    /// All metrics at zero.
     pub fn new() -> Counters {
         let metrics = Metrics::default();
         Counters {
@@ -93,7 +93,7 @@
                 "bramley_endpoints_kept",
                 "Endpoints that are used although their entries are gone.",
             ),
-            proof_age: metrics.gauges(
+            confirmation_age: metrics.gauges(
                 "bramley_proof_age_seconds",
                 "Age of the store's youngest word that what is known is all there is.",
                 &["subject"],
@@ -112,7 +112,7 @@
                 "Batch items by what happened to them.",
                 &["what"],
             ),
-            idle_slots: metrics.counters(
+            idle_slot_ms: metrics.counters(
                 "bramley_idle_slot_milliseconds_total",
                 "Free slots beside items that wait at this VM, times how long.",
                 &["reason"],
@@ -126,11 +126,11 @@
                 "Jobs that came into the hands of this VM.",
                 &["how"],
             ),
-            first_event: metrics.times(
+            first_event_seconds: metrics.times(
                 "bramley_first_event_seconds",
                 "From arrival to the first event for the caller.",
             ),
-            whole: metrics.times(
+            answer_seconds: metrics.times(
                 "bramley_answer_seconds",
                 "From arrival to the end of the answer.",
             ),
--- a/src/serve/dialect.rs
+++ b/src/serve/dialect.rs
@@ -1,6 +1,7 @@
-//! What a deployment's adapter tells the product: how calls, answers and records are spelled.
+//! The message formats of a deployment, which its adapter supplies: requests, answers and stored
+//! records.
 //!
-//! The adapter decodes each message once into the types here. Nothing in it decides.
+//! The adapter decodes each message once into the types of this module and makes no decisions.
 
 use std::time::Duration;
 
@@ -15,71 +16,71 @@
 use crate::decide::small_jobs::{Item, Outcome};
 use crate::id::{JobId, Name};
 
-/// What a caller asks for.
+/// The operation that a caller requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Call {
-    /// Whatever the route of its host and path says: a request, or the submission of a job.
+    /// A request or a job submission; the route of its host and path decides which.
     Routed,
-    /// The results of a job from a position on.
+    /// The results of a job, from a position on.
     Results {
         job: JobId,
         after: usize,
-        /// How long to wait for a result when there is none yet.
+        /// How long to wait while there is no result.
         wait: Duration,
     },
     /// The body of an item.
     ItemBody { job: JobId, item: Name },
-    /// Ends a job.
+    /// Cancels a job.
     Cancel { job: JobId },
 }
 
-/// One part of a prompt, in order from its start.
+/// One segment of a prompt; segments are in order from the start of the prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptPart {
     pub id: u64,
     pub tokens: u32,
 }
 
-/// What a caller's request says of itself.
+/// What the headers of a caller's request specify.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Ask {
-    /// The caller's id of this try; `None` when it gave none.
+    /// The caller's id of this attempt; `None` when the request has none.
     pub id: Option<String>,
     pub host: String,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer.
     pub patience: Option<Duration>,
-    /// The last event that the caller has of an earlier answer.
+    /// The last event that the caller received of an interrupted answer.
     pub last_event: Option<u64>,
     pub prompt: Vec<PromptPart>,
 }
 
-/// What one try tells the endpoint beside the caller's own headers.
+/// What one attempt sends to the endpoint in addition to the caller's headers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt<'a> {
-    /// Any other process at this address refuses.
+    /// The instance that the attempt is meant for; any other process at the address refuses it.
     pub instance: &'a str,
-    /// What is left until nobody waits any more; `None` where there is no bound.
+    /// Time until the deadline; `None` where there is none.
     pub left: Option<Duration>,
-    /// Go on after this event.
+    /// Resume after this event.
     pub last_event: Option<u64>,
-    /// Whose request it is; `None` where nobody is known to ask.
+    /// The workspace of the caller; `None` for a caller without a key.
     pub workspace: Option<&'a str>,
 }
 
-/// What the head of an endpoint's answer says.
+/// The decoded head of an endpoint's answer.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AnswerHead {
-    /// Id of the try that it answers.
+    /// Id of the attempt that this answers.
     pub attempt: Option<String>,
-    /// The endpoint vouches for the answer.
+    /// The answer carries the endpoint's signature.
     pub signed: bool,
-    /// The endpoint says that it did not run the request and never will.
+    /// The endpoint did not run the request and never will.
     pub not_run: bool,
-    /// Another process has the address.
+    /// A different process has taken the address.
     pub elsewhere: bool,
 }
 
-/// One listed result as a caller reads it.
+/// One listed result in the form in which callers read it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResultRow {
     pub item: Name,
@@ -87,45 +88,45 @@
     pub text: String,
 }
 
-/// Where the deployment keeps its records in the metadata store.
+/// Keys and key prefixes of the deployment's records in the metadata store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Keys {
-    /// Prefix of all that operators write.
+    /// Prefix of all records that operators write.
     pub operators: &'static str,
-    /// The rules in force.
+    /// The configuration in force.
     pub rules: &'static str,
-    /// Endpoints, each under its instance id.
+    /// Prefix of the endpoints' entries; each is stored under its instance id.
     pub endpoints: &'static str,
-    /// Requests to empty a VM with a disk, by VM name.
+    /// Prefix of the requests to retire a VM that has a disk, by VM name.
     pub retire: &'static str,
-    /// Where the progress of such a request is written, by VM name.
+    /// Prefix of the progress records of these requests, by VM name.
     pub retire_status: &'static str,
 }
 
-/// How a deployment spells its messages.
+/// Encodes and decodes the messages of a deployment.
 #[derive(Clone, Copy)]
 pub struct Dialect {
     pub keys: Keys,
-    /// Sorts a caller's request by method and path.
+    /// Determines the operation of a caller's request from its method and path.
     pub call: fn(&request::Parts) -> Call,
-    /// Reads what the headers say.
+    /// Reads the headers of a caller's request.
     pub ask: fn(&request::Parts) -> Ask,
-    /// Reads what a caller shows to say who it is.
+    /// Reads the caller's credential.
     pub credential: fn(&HeaderMap) -> Credential,
-    /// Header with the id of a try, for items that this system sends by itself.
+    /// Header with the attempt id, for batch items that this system sends itself.
     pub id_header: &'static str,
-    /// Adds what one try tells the endpoint.
+    /// Adds the headers of one attempt.
     pub attempt: fn(&mut HeaderMap, &Attempt<'_>),
     /// Reads the head of an endpoint's answer.
     pub answer: fn(StatusCode, &HeaderMap) -> AnswerHead,
-    /// Reads a submitted job.
+    /// Parses a submitted job.
     pub submission: fn(&[u8]) -> Result<Vec<Item>, String>,
-    /// Writes a page of results: how many items there are, the rows, the next position.
+    /// Encodes a page of results: the number of items, the rows, the next position.
     pub results: fn(usize, &[ResultRow], usize) -> Bytes,
-    /// Reads the rules.
+    /// Parses the configuration.
     pub rules: fn(&[u8]) -> Result<Rules, String>,
-    /// Reads an endpoint's entry; the name is its instance id.
+    /// Parses an endpoint's entry; the name is its instance id.
     pub registration: fn(&str, &[u8]) -> Result<Registration, String>,
-    /// Says that a VM holds nothing any more.
+    /// Encodes the record that a VM holds no data any more.
     pub retired: fn() -> Bytes,
 }
--- a/src/serve/events.rs
+++ b/src/serve/events.rs
@@ -1,11 +1,11 @@
-//! Cuts a stream of server-sent events into whole events.
+//! Splits a stream of server-sent events into whole events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Bytes that an unfinished event may take; an endpoint that never ends one is broken.
+/// Size limit of an unfinished event; an endpoint that exceeds it is broken.
 const EVENT_BYTES_MAX: usize = 1024 * 1024;
 
-/// One whole event as it came, its blank line included.
+/// One whole event as received, including its blank line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     pub raw: Bytes,
@@ -21,10 +21,11 @@
     }
 }
 
-/// Checks that an event follows the last one that was taken.
+/// Checks that an event directly follows the last one.
 ///
-/// The failure: an endpoint leaves an event out, or sends one twice, and the caller gets a text with a
-/// gap or a repeat that looks whole. The ids of a stream count up by one, so the next one is known.
+/// The ids of a stream count up by one, so the next id is known. Without this check an endpoint
+/// that leaves out an event, or repeats one, would give the caller a text with a gap or a
+/// repetition that looks complete.
 pub fn check_next(last: Option<u64>, event: Option<u64>) -> Result<(), String> {
     match (last, event) {
         (Some(last), Some(event)) if event != last + 1 => {
@@ -34,46 +35,47 @@
     }
 }
 
-/// What came so far of an event that has not ended.
+/// Buffers the bytes of an event that is not complete yet.
 #[derive(Debug, Default)]
 pub struct Splitter {
     rest: BytesMut,
-    /// Bytes of `rest` in which no end was found.
+    /// Bytes of `rest` that have been searched for the end of the event.
     searched: usize,
 }
 
 impl Splitter {
-    /// Takes bytes and gives back the events that are whole by now.
+    /// Adds bytes and returns the events that are complete.
     ///
-    /// The failure: an endpoint dies in the middle of an event. Had its first half gone to the
-    /// caller, the stream could not go on at another endpoint without a broken or doubled event.
+    /// Only whole events are passed on: an endpoint may die in the middle of one, and if the caller
+    /// had received the first half, the stream could not resume at another endpoint without a
+    /// broken or repeated event.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         self.rest.extend_from_slice(bytes);
         let mut events = Vec::new();
-        while let Some(end) = self.end() {
+        while let Some(end) = self.event_end() {
             let raw = self.rest.split_to(end).freeze();
             self.searched = 0;
             events.push(Event {
-                id: id_of(&raw),
+                id: event_id(&raw),
                 raw,
             });
         }
         events
     }
 
-    /// Whether part of an event is left over.
+    /// Whether part of an event is buffered.
     pub fn partial(&self) -> bool {
         !self.rest.is_empty()
     }
 
-    /// Whether the unfinished event is longer than any event may be.
+    /// Whether the unfinished event exceeds the size limit.
     pub fn overlong(&self) -> bool {
         self.rest.len() > EVENT_BYTES_MAX
     }
 
-    /// Length of the first whole event, with either kind of line end.
-    fn end(&mut self) -> Option<usize> {
-        // An end may begin in the last three bytes that were searched.
+    /// Length of the first whole event, which may end in LF or CRLF lines.
+    fn event_end(&mut self) -> Option<usize> {
+        // An end may begin within the last three bytes already searched.
         let from = self.searched.saturating_sub(3);
         let found = (from..self.rest.len()).find_map(|at| {
             let tail = &self.rest[at..];
@@ -93,7 +95,7 @@
     Some(value.strip_prefix(' ').unwrap_or(value))
 }
 
-fn id_of(raw: &[u8]) -> Option<u64> {
+fn event_id(raw: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(raw).ok()?;
     let mut ids = text.lines().filter_map(|line| field(line, "id"));
     ids.next_back()?.trim().parse().ok()
--- a/src/serve/exchange.rs
+++ b/src/serve/exchange.rs
@@ -1,4 +1,4 @@
-//! One try of one request at one endpoint, up to the head of its answer.
+//! One attempt of a request at an endpoint, up to the head of the answer.
 
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 use crate::decide::retry::AttemptStage;
 use crate::id::{EndpointId, Name};
 
-/// Headers that concern one connection only, and those that the client library writes itself.
-const OF_CONNECTION: [&str; 10] = [
+/// Hop-by-hop headers, and headers that the client library writes itself.
+const HOP_BY_HOP_HEADERS: [&str; 10] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -30,25 +30,25 @@
     "content-length",
 ];
 
-/// What is sent, the same at every try.
+/// The request to send, the same for every attempt.
 #[derive(Debug, Clone)]
 pub struct Outgoing {
-    /// Id of the caller's try, which the endpoint echoes.
+    /// Id of the caller's attempt, which the endpoint echoes.
     pub id: String,
     pub method: Method,
     /// Path and query as the caller sent them.
     pub target: String,
-    /// Headers as the caller sent them, less those of its connection.
+    /// The caller's headers without those of its connection.
     pub headers: HeaderMap,
     pub body: Bytes,
-    /// Whether it may run twice.
+    /// Whether the request may run twice.
     pub repeatable: bool,
-    /// Whose it is; `None` where nobody is known to ask.
+    /// Workspace of the caller; `None` for a caller without a key.
     pub workspace: Option<Name>,
 }
 
 impl Outgoing {
-    /// What counts as the same request when it comes again.
+    /// Identifies repeated submissions of the same request.
     pub fn fingerprint(&self) -> Fingerprint {
         Fingerprint::of(&RequestIdentity {
             caller: self.workspace.as_deref().unwrap_or_default().as_bytes(),
@@ -59,7 +59,7 @@
         })
     }
 
-    /// Its method, host and path, for people.
+    /// Method, host and path, for logs and operators.
     pub fn label(&self) -> String {
         let host = String::from_utf8_lossy(self.header(header::HOST));
         let path = self.target.split('?').next().unwrap_or_default();
@@ -72,7 +72,7 @@
     }
 }
 
-/// Where a try goes.
+/// The endpoint that an attempt is sent to.
 #[derive(Debug, Clone)]
 pub struct Target {
     pub endpoint: EndpointId,
@@ -80,7 +80,7 @@
     pub instance: String,
 }
 
-/// The head of an answer and what is needed to read the rest.
+/// The head of an answer, and what is needed to read its body.
 pub struct Answer {
     pub head: response::Parts,
     pub said: AnswerHead,
@@ -88,16 +88,16 @@
     pub connection: Connection,
 }
 
-/// A try that brought no answer to pass on.
+/// An attempt without an answer that can be passed on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Failure {
     pub reach: AttemptStage,
     /// The endpoint is at fault.
     pub blame: bool,
-    /// The connection broke while the request was under way.
+    /// The connection broke while the request was in flight.
     pub lost: bool,
-    /// The endpoint has ended, by its host's word.
-    pub ended: bool,
+    /// The endpoint's host refused the connection, so the endpoint has ended.
+    pub endpoint_ended: bool,
     pub detail: String,
 }
 
@@ -108,12 +108,12 @@
             reach,
             blame: true,
             lost: false,
-            ended: false,
+            endpoint_ended: false,
             detail: detail.into(),
         }
     }
 
-    /// The connection broke while the request was under way.
+    /// The connection broke while the request was in flight.
     pub fn lost(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
             lost: true,
@@ -121,7 +121,7 @@
         }
     }
 
-    /// A failure that is nobody's fault.
+    /// A failure that is not the endpoint's fault.
     pub fn unblamed(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
             blame: false,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Copies the headers that go on to the other side.
+/// Copies the end-to-end headers, without hop-by-hop headers and those that `Connection` names.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
@@ -141,7 +141,7 @@
         .collect();
     let mut kept = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let dropped = OF_CONNECTION.contains(&name.as_str())
+        let dropped = HOP_BY_HOP_HEADERS.contains(&name.as_str())
             || named.iter().any(|dropped| dropped == name.as_str());
         if !dropped {
             kept.append(name.clone(), value.clone());
@@ -150,10 +150,10 @@
     kept
 }
 
-/// Sends a request and checks that the head which comes back belongs to it.
+/// Sends a request and checks that the returned head belongs to it.
 ///
-/// A request that may not be repeated goes over a new connection: on a kept one the endpoint may be
-/// closing just then, and the lost request could not be told from one that ran.
+/// A request that may not be repeated uses a new connection: the endpoint may be closing an idle
+/// one at that moment, and a lost request could not be distinguished from one that ran.
 pub async fn send(
     node: &Node,
     target: &Target,
@@ -170,21 +170,22 @@
         None => open(node, target).await?,
     };
     let fresh = connection.fresh;
-    let request = request(node, target, out, left, last_event)?;
+    let request = build_request(node, target, out, left, last_event)?;
     let response = match connection.send(request).await {
         Ok(response) => response,
-        // The endpoint had closed the kept connection: nothing was sent, a new one may do.
+        // The endpoint had closed the idle connection: nothing was sent, so a new connection may
+        // work.
         Err(pool::Error::NotSent { .. }) if !fresh => {
             connection = open(node, target).await?;
-            let request = self::request(node, target, out, left, last_event)?;
-            connection.send(request).await.map_err(failed)?
+            let request = self::build_request(node, target, out, left, last_event)?;
+            connection.send(request).await.map_err(failure_of)?
         }
-        Err(error) => return Err(failed(error)),
+        Err(error) => return Err(failure_of(error)),
     };
     node.heard(target.endpoint);
     let (head, body) = response.into_parts();
     let said = (node.dialect.answer)(head.status, &head.headers);
-    check(&out.id, fresh, &said)?;
+    check_answer(&out.id, fresh, &said)?;
     Ok(Answer {
         head,
         said,
@@ -195,22 +196,22 @@
 
 async fn open(node: &Node, target: &Target) -> Result<Connection, Failure> {
     node.counters.connections.inc();
-    Connection::open(&target.address).await.map_err(failed)
+    Connection::open(&target.address).await.map_err(failure_of)
 }
 
-fn failed(error: pool::Error) -> Failure {
+fn failure_of(error: pool::Error) -> Failure {
     let detail = error.to_string();
     match error {
         pool::Error::NotSent { .. } => Failure::blamed(AttemptStage::NotSent, detail),
         pool::Error::TurnedAway { .. } => Failure {
-            ended: true,
+            endpoint_ended: true,
             ..Failure::blamed(AttemptStage::NotSent, detail)
         },
         pool::Error::NoAnswer { .. } => Failure::lost(AttemptStage::MaybeSent, detail),
     }
 }
 
-fn request(
+fn build_request(
     node: &Node,
     target: &Target,
     out: &Outgoing,
@@ -236,12 +237,12 @@
     Ok(request)
 }
 
-/// Checks whose answer it is.
+/// Checks that an answer belongs to this request.
 ///
-/// The failure: an endpoint sends an answer twice, and the second copy stands where the answer to the
-/// next request on this connection is due. The id tells; an answer without one is believed only on a
-/// connection that carried nothing before.
-fn check(id: &str, fresh: bool, said: &AnswerHead) -> Result<(), Failure> {
+/// An endpoint may send an answer twice, and the second copy would be read as the answer to the
+/// next request on the connection. The echoed id prevents that; an answer without an id is accepted
+/// only on a connection that carried no request before.
+fn check_answer(id: &str, fresh: bool, said: &AnswerHead) -> Result<(), Failure> {
     match &said.attempt {
         Some(echoed) if echoed != id => {
             let detail = format!("the answer is to {echoed}");
@@ -264,7 +265,8 @@
     Ok(())
 }
 
-/// How long the endpoint keeps the connection, when the answer leaves it usable at all.
+/// How long the endpoint keeps the connection open: `None` if the connection can't be reused,
+/// `Some(None)` if the answer names no timeout.
 pub fn keep_alive(head: &response::Parts) -> Option<Option<Duration>> {
     let text = |name| head.headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text(header::CONNECTION.as_str())
--- a/src/serve/inside.rs
+++ b/src/serve/inside.rs
@@ -1,4 +1,4 @@
-//! The pages for the balancer, for operators and for other VMs.
+//! Internal HTTP pages for the load balancer, for operators and for other VMs.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -36,17 +36,17 @@
 use crate::decide::quarantine::QuarantineListing;
 use crate::decide::quota::QuotaUse;
 
-/// What the process knows and does, for operators.
+/// State of the process, for operators.
 #[derive(Serialize)]
 struct Dump {
     vm: String,
     stage: &'static str,
     ready: bool,
     rules: Option<u64>,
-    proofs: Vec<ProofRow>,
+    proofs: Vec<ConfirmationRow>,
     endpoints_revision: u64,
     living_vms: usize,
-    /// Whether it speaks for its failure domain.
+    /// Whether this VM is a delegate of its failure domain.
     delegate: bool,
     requests: usize,
     items: usize,
@@ -54,16 +54,16 @@
     waiting: Vec<ServiceQueue>,
     endpoints: Vec<EndpointRow>,
     jobs: Vec<JobRow>,
-    /// Requests that endpoints ended under.
+    /// Requests whose endpoints ended while running them.
     quarantine: Vec<QuarantineListing>,
-    /// Workspaces with a quota and requests here of late.
+    /// Workspaces that have a quota and recent requests at this VM.
     quotas: Vec<QuotaUse>,
     store_answers: bool,
 }
 
-/// How old the store's youngest word on a subject is.
+/// Time since the store last confirmed a subject.
 #[derive(Serialize)]
-struct ProofRow {
+struct ConfirmationRow {
     subject: StoreSubject,
     age_ms: Option<u64>,
 }
@@ -87,17 +87,20 @@
     runs_here: bool,
 }
 
-/// Path under which operators release a request, by its fingerprint.
+/// Path under which operators release a quarantined request, followed by its fingerprint.
 const RELEASE_PATH: &str = "/quarantine/release/";
-/// Longest life of a connection from another VM, which asks one question on it and waits for 2.6 s at the most.
+/// Maximum lifetime of a connection from another VM, which sends one request on it and waits at
+/// most 2.6 s.
 ///
-/// The failure: the connection goes silent, its asker gives up, and nothing of that arrives here. Its descriptor would stay
-/// in use until the process ends, and after thousands of them no caller could connect.
+/// A connection can go silent, and nothing then shows that the other VM gave up on it. Without the
+/// limit its descriptor would stay in use until the process ends, and after thousands of them no
+/// caller could connect.
 pub const PEER_LIFE: Duration = Duration::from_secs(10);
-/// Longest life of a connection from the balancer or an operator, whose scrapes may come a minute apart.
-pub const PAGE_LIFE: Duration = Duration::from_secs(600);
-/// Time between two tries to take a connection, as when descriptors are used up.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum lifetime of a connection from the load balancer or an operator, whose scrapes may be a
+/// minute apart.
+pub const PAGE_CONNECTION_LIFETIME_MAX: Duration = Duration::from_secs(600);
+/// Delay after a failed accept, for example when file descriptors are exhausted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 async fn accept(listener: &TcpListener) -> TcpStream {
     loop {
@@ -105,11 +108,12 @@
             Ok((stream, _)) => return stream,
             Err(error) => log::warn!(error:% = error; "connections to the pages can't be taken"),
         }
-        sleep(ACCEPT_PAUSE).await;
+        sleep(ACCEPT_RETRY_DELAY).await;
     }
 }
 
-/// Serves pages on one listener until the process ends; no connection lasts for longer than `life`.
+/// Serves pages on one listener until the process ends; no connection lasts longer than
+/// `lifetime_max`.
 pub async fn serve<F: Future<Output = Reply> + 'static>(
     node: Rc<Node>,
     listener: TcpListener,
@@ -125,13 +129,13 @@
                 async move { Ok::<Reply, Infallible>(reply.await) }
             });
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
-            // An error is an asker that broke off, or whose time was up.
+            // An error is a client that disconnected, or the end of the lifetime.
             let _ = timeout(life, served).await;
         });
     }
 }
 
-/// Whether new callers may be sent here.
+/// Readiness: whether new callers may be sent to this VM.
 pub async fn readiness(node: Rc<Node>, _request: Request<Incoming>) -> Reply {
     match node.ready() {
         true => replies::empty(200),
@@ -139,12 +143,12 @@
     }
 }
 
-/// Metrics and the dump.
+/// Pages for operators: metrics, the state dump, waiting work and the quarantine.
 pub async fn operators(node: Rc<Node>, request: Request<Incoming>) -> Reply {
     match request.uri().path() {
         "/metrics" => {
-            count_idle(&node);
-            tell_ages(&node);
+            update_idle_counters(&node);
+            update_confirmation_ages(&node);
             replies::bytes(Bytes::from(node.counters.metrics.page().body))
         }
         "/dump" => replies::json(200, Bytes::from(dump(&node))),
@@ -157,7 +161,7 @@
     }
 }
 
-/// Lets a request run again that is held back.
+/// Releases a quarantined request so that it may run again.
 fn release(node: &Node, fingerprint: &str) -> Reply {
     let Ok(fingerprint) = fingerprint.parse() else {
         return replies::empty(400);
@@ -167,29 +171,29 @@
     replies::json(200, Bytes::from(answer.to_string()))
 }
 
-/// Brings the counters of idle slots up to what the deciding part has added up.
-fn count_idle(node: &Node) {
+/// Updates the counters of idle slot time from the scheduler's totals.
+fn update_idle_counters(node: &Node) {
     let core = node.core.borrow();
     for reason in IdleReason::iter() {
         let name: &'static str = reason.into();
-        let counter = node.counters.idle_slots.with_label_values(&[name]);
+        let counter = node.counters.idle_slot_ms.with_label_values(&[name]);
         let lost_ms = core.items.idle.lost(reason).as_millis() as u64;
         counter.inc_by(lost_ms.saturating_sub(counter.get()));
     }
 }
 
-fn tell_ages(node: &Node) {
+fn update_confirmation_ages(node: &Node) {
     let now = clock::now();
     let core = node.core.borrow();
     for subject in StoreSubject::iter() {
         let name: &'static str = subject.into();
         let age = core.proofs.age(now, subject);
-        let gauge = node.counters.proof_age.with_label_values(&[name]);
+        let gauge = node.counters.confirmation_age.with_label_values(&[name]);
         gauge.set(age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
     }
 }
 
-/// What other VMs ask for.
+/// Requests from other VMs.
 pub async fn peers(node: Rc<Node>, request: Request<Incoming>) -> Reply {
     match request.uri().path() {
         relay::PATH => relay::answer(&node, request.into_body()).await,
@@ -219,7 +223,7 @@
         cancelled: job.record.cancelled,
         runs_here: job.record.owner == node.owner,
     };
-    let proof = |subject| ProofRow {
+    let proof = |subject| ConfirmationRow {
         subject,
         age_ms: core
             .proofs
@@ -236,7 +240,7 @@
         endpoints_revision: core.discovery.revision,
         living_vms: core.peers.living_vms(now),
         delegate: core.peers.is_delegate(node.vm),
-        requests: node.busy.get(),
+        requests: node.open_requests.get(),
         items,
         items_running,
         waiting: core.online.waiting(now),
@@ -246,6 +250,6 @@
         quotas: quotas::uses(&core, now),
         store_answers: node.store_answers.get(),
     };
-    // Plain numbers and strings: there is nothing that JSON can't hold.
+    // The dump consists of numbers and strings, so JSON can represent all of it.
     serde_json::to_vec_pretty(&dump).unwrap_or_default()
 }
--- a/src/serve/node.rs
+++ b/src/serve/node.rs
@@ -1,7 +1,7 @@
-//! The state of one serving process, and the ways into it.
+//! The state of one serving process and its entry points.
 //!
-//! Everything runs on one thread. What decides is in [`Core`]; it is borrowed for the length of one
-//! call and never across a wait.
+//! Everything runs on one thread. The deciding state is in [`Core`], which is borrowed for the
+//! length of one call and never across an await point.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -41,40 +41,41 @@
 use crate::util;
 use crate::wire::Key;
 
-/// Requests that may wait at one VM for each service. A queue that long lasts for well over the
-/// time to first token that any route asks for; admission by expected wait closes far earlier.
-const QUEUE_LIMIT: usize = 256;
-/// Requests in flight of one VM for each service; bounds its memory, not its endpoints.
-const IN_FLIGHT_MAX: usize = 2000;
-/// The workspace of callers who need no key.
-pub const NOBODY: WorkspaceId = 0;
+/// Requests that may queue at one VM for each service. Working off such a queue takes far longer
+/// than the first-token goal of any route; admission by expected wait refuses much earlier.
+const QUEUED_REQUESTS_MAX: usize = 256;
+/// Requests in flight from one VM for each service; bounds the VM's memory, not the load of the
+/// endpoints.
+const IN_FLIGHT_REQUESTS_MAX: usize = 2000;
+/// The workspace of callers without a key.
+pub const ANONYMOUS_WORKSPACE: WorkspaceId = 0;
 
-/// Where a process stands in its life.
+/// Lifecycle stage of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Stage {
     Serving,
-    /// Told to stop: still takes requests until callers are sent elsewhere.
+    /// Stopping, but still accepts requests until callers are sent to other VMs.
     Draining,
 }
 
-/// What decides.
+/// The deciding state of a process.
 pub struct Core {
     pub online: Online,
     pub items: Items,
     pub usage: Usage,
-    /// Jobs let in below their routes' limits.
+    /// Batch jobs admitted below the limits of their routes.
     pub backlog: Backlog,
     pub discovery: Discovery,
     pub routes: Option<Rc<RouteTable>>,
     pub jobs: Jobs,
     pub live: Live,
     pub peers: Peers,
-    /// How old the store's word is on all that is followed there.
+    /// When the store last confirmed each subject that is followed there.
     pub proofs: Freshness,
     /// Requests that end their endpoints.
     pub quarantine: Quarantine,
-    /// Requests of workspaces against their quotas.
+    /// Request counts of the workspaces, checked against their quotas.
     pub quotas: Quotas,
     pub stage: Stage,
     callers: HashMap<RequestId, mpsc::UnboundedSender<Action>>,
@@ -82,12 +83,12 @@
 }
 
 impl Core {
-    /// Version of the rules in force; 0 while none are known.
+    /// Version of the configuration in force; 0 while there is none.
     pub fn rules_version(&self) -> ConfigVersion {
         self.routes.as_ref().map_or(0, |table| table.rules.version)
     }
 
-    /// What is known of what other VMs fetch from each other.
+    /// Versions of the data that VMs fetch from each other.
     pub fn versions(&self) -> KnownVersions {
         KnownVersions {
             rules: self.rules_version(),
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes what another VM tells of the store's word to it; `theirs` is what that VM knows.
+    /// Applies the confirmation ages that another VM reports; `theirs` are the versions it has.
     pub fn take_proofs(&mut self, now: Duration, ages: ConfirmationAges, theirs: KnownVersions) {
         let own = self.versions();
         let knows = VersionsMatch {
@@ -105,7 +106,7 @@
         self.proofs.confirm_by_peer(now, ages, knows);
     }
 
-    /// Takes a job's record, and notes what became known as finished with it.
+    /// Stores a job's record, and counts the tokens that it newly shows as finished.
     pub fn take_job(
         &mut self,
         now: Duration,
@@ -124,14 +125,14 @@
 pub struct Node {
     pub settings: settings::Serve,
     pub dialect: Dialect,
-    /// The metadata store, by way of another VM when this one is turned away.
+    /// The metadata store, reached through another VM when this one gets no answer.
     pub store: Store,
-    /// The same by the own way only.
+    /// The metadata store, reached directly only.
     pub own_store: Store,
     pub started_at: Duration,
-    /// Whether the last call by the own way was answered.
+    /// Whether the last direct call on the store was answered.
     pub store_answers: Cell<bool>,
-    /// When the last renewal of the registration was sent that was answered.
+    /// When the last answered renewal of the registration was sent.
     pub renewed_at: Cell<Option<Duration>>,
     pub pool: Pool,
     pub counters: Counters,
@@ -139,30 +140,31 @@
     pub runs: Runs,
     pub vm: VmId,
     pub domain: DomainId,
-    /// Drawn at each start.
+    /// Random id of this process, new at each start.
     pub owner: OwnerId,
-    /// Seals what goes to other VMs.
+    /// Authenticates messages to other VMs.
     pub key: Key,
-    /// Callers' requests in hand.
-    pub busy: Cell<usize>,
-    /// Whether new connections are taken.
+    /// Callers' requests that are open.
+    pub open_requests: Cell<usize>,
+    /// Whether new connections are accepted.
     pub listening: Cell<bool>,
-    /// This delegate has heard of an endpoint with more than it runs, where items are to make way.
+    /// As a delegate: an endpoint has more work than it runs at once, and its batch items have to
+    /// be preempted.
     pub tell_pressed: Notify,
-    /// The VM has to tell the others what it has in flight.
+    /// The in-flight counts of this VM have to be sent to the other VMs.
     pub tell_peers: Notify,
-    /// Other VMs have to be told of requests that end their endpoints.
+    /// Quarantine reports have to be sent to the other VMs.
     pub tell_quarantine: Notify,
-    /// Batch items may have to be placed or taken back.
+    /// Batch items may have to be placed or preempted.
     pub plan_items: Notify,
-    /// The watches' connections to the store are in doubt.
+    /// The watches' connections to the store may be broken.
     pub watch_again: Notify,
-    /// Callers' connections are to close once they are idle.
+    /// Callers' connections are to be closed once they are idle.
     pub closing: Notify,
 }
 
 impl Node {
-    /// A process that knows nothing yet.
+    /// A process without configuration or endpoints.
     pub fn new(settings: settings::Serve, dialect: Dialect, store: Store) -> Rc<Node> {
         let domain = id::of(&settings.failure_domain);
         let mut online = Online::new(domain, util::rng());
@@ -180,7 +182,7 @@
             peers: Peers::new(settings.mesh_max),
             proofs: Freshness::default(),
             quarantine: Quarantine::default(),
-            quotas: Quotas::new(measure(&settings), clock::now()),
+            quotas: Quotas::new(quota_measure(&settings), clock::now()),
             stage: Stage::Serving,
             callers: HashMap::new(),
             next_request: 1,
@@ -213,7 +215,7 @@
                 counters,
                 core: RefCell::new(core),
                 runs: Runs::default(),
-                busy: Cell::new(0),
+                open_requests: Cell::new(0),
                 tell_pressed: Notify::new(),
                 tell_peers: Notify::new(),
                 tell_quarantine: Notify::new(),
@@ -226,12 +228,13 @@
         })
     }
 
-    /// A call on the store by the own way has ended.
+    /// Records the outcome of a direct call on the store.
     ///
-    /// The failure: all connections to the store have gone silent, another VM makes this one's calls, so that
-    /// nothing seems to fail, and the watches wait for half a minute: an ended job's items run on. So what
-    /// counts is the own way, whatever came of the call in the end, and the watches are set anew with each
-    /// failure. Writes are left out: answers to them are lost while reads go through.
+    /// The direct outcome counts even when the call succeeds through another VM. Otherwise, when
+    /// all connections to the store go silent and another VM makes the calls, nothing would seem to
+    /// fail while the watches wait for half a minute, and the items of an ended job would run on.
+    /// So each failure restarts the watches. Writes are excluded: their answers can be lost while
+    /// reads still succeed.
     fn note_call(&self, call: &EndedCall) {
         let outcome = if call.answered { "answered" } else { "failed" };
         let counter = &self.counters.store_calls;
@@ -251,29 +254,30 @@
         }
     }
 
-    /// The store has answered a call on a subject that was sent at this time.
+    /// Records that the store answered a call on a subject; the call was sent at `sent_at`.
     pub fn proved(&self, subject: StoreSubject, sent_at: Duration) {
         self.core.borrow_mut().proofs.confirm(subject, sent_at);
     }
 
-    /// Age of the youngest proof of a subject in milliseconds, for the log; -1 where there was none yet.
-    pub fn proof_age_ms(&self, subject: StoreSubject) -> i64 {
+    /// Confirmation age of a subject in milliseconds, for the log; -1 if it was never confirmed.
+    pub fn confirmation_age_ms(&self, subject: StoreSubject) -> i64 {
         let age = self.core.borrow().proofs.age(clock::now(), subject);
         age.map_or(-1, |age| age.as_millis() as i64)
     }
 
-    /// Whether callers can be served: it knows rules and endpoints, and does not drain.
+    /// Whether callers can be served: configuration and endpoints are loaded and the process is not
+    /// draining.
     pub fn ready(&self) -> bool {
         let core = self.core.borrow();
         core.stage == Stage::Serving && core.routes.is_some() && core.discovery.is_loaded()
     }
 
-    /// Whether the process was told to stop.
+    /// Whether the process is stopping.
     pub fn is_draining(&self) -> bool {
         self.core.borrow().stage == Stage::Draining
     }
 
-    /// This VM, among those that may watch and speak for others.
+    /// This VM as a candidate for watching the store and for delegate.
     pub fn own(&self) -> LocalVm {
         let draining = self.is_draining();
         LocalVm {
@@ -285,14 +289,14 @@
         }
     }
 
-    /// The rules in force.
+    /// The configuration in force.
     pub fn routes(&self) -> Option<Rc<RouteTable>> {
         self.core.borrow().routes.clone()
     }
 
-    /// Takes rules unless they are older than those in force: a process never goes back.
+    /// Applies a configuration that is newer than the one in force; older ones are ignored.
     pub fn take_rules(&self, rules: Rules, from: &str) {
-        let proof_age_ms = self.proof_age_ms(StoreSubject::Rules);
+        let proof_age_ms = self.confirmation_age_ms(StoreSubject::Rules);
         let mut core = self.core.borrow_mut();
         let known = core.routes.as_ref().map(|table| table.rules.version);
         if known.is_some_and(|known| rules.version <= known) {
@@ -307,11 +311,11 @@
         self.plan_items.notify_one();
     }
 
-    /// Logs and counts what became of endpoints, and on whose word. The counters outlast the log, of which
-    /// only the end may be kept.
-    fn tell_endpoint_news(&self, from: &str) {
+    /// Logs and counts the transitions of endpoints. The counters outlast the log, of which only
+    /// the end may be kept.
+    fn report_transitions(&self, from: &str) {
         let now = clock::now();
-        let proof_age_ms = self.proof_age_ms(StoreSubject::Endpoints);
+        let proof_age_ms = self.confirmation_age_ms(StoreSubject::Endpoints);
         let mut core = self.core.borrow_mut();
         let news = core.discovery.take_transitions();
         let kept = core.discovery.kept_count() as f64;
@@ -335,16 +339,16 @@
         }
     }
 
-    /// A word on endpoints was taken; `changed` when it matters to what may be used.
+    /// Follows up on a report on endpoints; `changed` if it affects which of them may be used.
     pub fn endpoints_told(&self, from: &str, changed: bool) {
-        self.tell_endpoint_news(from);
+        self.report_transitions(from);
         if changed {
-            self.take_endpoints(from);
+            self.rebuild_endpoints(from);
         }
     }
 
-    /// Lays out the endpoints anew after a change.
-    fn take_endpoints(&self, from: &str) {
+    /// Rebuilds the endpoint table after a change.
+    fn rebuild_endpoints(&self, from: &str) {
         let mut guard = self.core.borrow_mut();
         let core = &mut *guard;
         let declared = core.discovery.declared();
@@ -367,7 +371,7 @@
         gone.retain(|id| endpoints.get(*id).is_none());
         for id in draining {
             if let Some(row) = endpoints.get_mut(id) {
-                // An instance never comes back from draining.
+                // A draining instance never returns to service.
                 row.leaving = Some(u64::MAX);
             }
         }
@@ -379,7 +383,7 @@
         self.plan_items.notify_one();
     }
 
-    /// Registers a request; the receiver brings what is to be done for it.
+    /// Registers a request; the receiver delivers the actions for it.
     pub fn register(&self) -> (RequestId, mpsc::UnboundedReceiver<Action>) {
         let mut core = self.core.borrow_mut();
         let request = core.next_request;
@@ -389,20 +393,20 @@
         (request, receiver)
     }
 
-    /// Forgets a request.
+    /// Removes a request.
     pub fn unregister(&self, request: RequestId) {
         self.core.borrow_mut().callers.remove(&request);
     }
 
-    /// Tells the deciding part what happened to a request.
-    pub fn tell(&self, event: Event) {
+    /// Passes an event of a request to the online scheduler.
+    pub fn handle_event(&self, event: Event) {
         let mut core = self.core.borrow_mut();
         let mut out = Vec::new();
         core.online.handle(clock::now(), event, &mut out);
-        self.pass_on(&mut core, out);
+        self.dispatch(&mut core, out);
     }
 
-    /// Something came from an endpoint.
+    /// Records that data arrived from an endpoint.
     pub fn heard(&self, endpoint: EndpointId) {
         let mut core = self.core.borrow_mut();
         if let Some(row) = core.online.endpoints.get_mut(endpoint) {
@@ -410,15 +414,15 @@
         }
     }
 
-    /// Something of a request's answer came.
-    pub fn heard_answer(&self, request: RequestId) {
+    /// Records that part of a request's answer arrived.
+    pub fn note_answer_data(&self, request: RequestId) {
         self.core
             .borrow_mut()
             .online
             .note_response(clock::now(), request);
     }
 
-    /// Where an endpoint is; `None` when it is gone by now.
+    /// Address of an endpoint; `None` if it is gone.
     pub fn target(&self, endpoint: EndpointId) -> Option<Target> {
         let core = self.core.borrow();
         let row = core.online.endpoints.get(endpoint)?;
@@ -429,7 +433,7 @@
         })
     }
 
-    /// Looks at everything that time alone changes.
+    /// Runs everything that depends on time alone.
     pub fn tick(&self) {
         let now = clock::now();
         let own = self.own();
@@ -437,7 +441,8 @@
         let core = &mut *guard;
         core.usage.tick(now);
         if core.peers.tick(now, own) {
-            // What others have would be counted twice for a while: as they say it and as it is summed up.
+            // Otherwise the use by other VMs would be counted twice for a while: in their own
+            // reports and in the domain summaries.
             core.usage = Usage::default();
             core.quotas.forget_reports();
         }
@@ -452,34 +457,34 @@
         note_uses(core);
         let mut out = Vec::new();
         core.online.tick(now, &mut out);
-        self.pass_on(core, out);
+        self.dispatch(core, out);
         drop(guard);
         self.endpoints_told("time", changed);
         quarantine::tick(self);
         self.pool.tick(now);
     }
 
-    fn pass_on(&self, core: &mut Core, actions: Vec<Action>) {
+    fn dispatch(&self, core: &mut Core, actions: Vec<Action>) {
         for action in actions {
             let request = match &action {
                 Action::Send {
                     request, endpoint, ..
                 } => {
-                    self.note_pressure(core, *endpoint);
+                    self.preempt_batch_items(core, *endpoint);
                     self.tell_peers.notify_one();
                     *request
                 }
                 Action::Refuse { request, .. } | Action::GiveUp { request } => *request,
             };
             if let Some(caller) = core.callers.get(&request) {
-                // A caller that has left meanwhile has told so by itself.
+                // A caller that disconnected is handled by its own task.
                 let _ = caller.send(action);
             }
         }
     }
 
-    /// Batch work makes way at once when an endpoint has more than it runs.
-    fn note_pressure(&self, core: &mut Core, endpoint: EndpointId) {
+    /// Has batch work preempted at once when an endpoint has more than it runs.
+    fn preempt_batch_items(&self, core: &mut Core, endpoint: EndpointId) {
         let now = clock::now();
         let batch_here = core.items.at(endpoint);
         let elsewhere = core.usage.of(endpoint);
@@ -499,14 +504,14 @@
     }
 }
 
-/// Writes into the endpoints' rows what the other VMs last said.
+/// Copies the last reported use by other VMs into the endpoint rows.
 pub fn note_uses(core: &mut Core) {
     let endpoints = &mut core.online.endpoints;
     core.items.note_uses(clock::now(), endpoints, &core.usage);
 }
 
-/// How the settings say that quotas are measured.
-fn measure(settings: &settings::Serve) -> QuotaMeasure {
+/// How the settings specify the measuring of quotas.
+fn quota_measure(settings: &settings::Serve) -> QuotaMeasure {
     QuotaMeasure {
         window: Duration::from_secs_f64(settings.quota_window_s),
         overage: settings.quota_overage,
@@ -514,7 +519,8 @@
     }
 }
 
-/// The services as admission takes them: the tightest goal of the routes that lead there.
+/// The services as configured for admission, each with the tightest goal of the routes that lead to
+/// it.
 fn services(rules: &Rules) -> HashMap<ServiceId, ServiceConfig> {
     let shares = shares(rules);
     let mut services: HashMap<ServiceId, ServiceConfig> = HashMap::new();
@@ -524,8 +530,8 @@
                 .entry(share.service)
                 .or_insert_with(|| ServiceConfig {
                     first_token_goal: Duration::MAX,
-                    queue_limit: QUEUE_LIMIT,
-                    max_in_flight: IN_FLIGHT_MAX,
+                    queue_limit: QUEUED_REQUESTS_MAX,
+                    max_in_flight: IN_FLIGHT_REQUESTS_MAX,
                     learn: false,
                     shares: shares.clone(),
                 });
@@ -535,7 +541,7 @@
     services
 }
 
-/// Parts of the slots that workspaces may count on when all are taken: by their quotas.
+/// Each workspace's guaranteed part of the slots when all are taken, in proportion to its quota.
 fn shares(rules: &Rules) -> HashMap<WorkspaceId, f64> {
     let workspaces = rules.workspaces.as_deref().unwrap_or_default();
     let rate = |workspace: &Workspace| workspace.quota.map_or(0.0, |quota| quota.rate_per_s);
@@ -545,5 +551,5 @@
         (workspace.id(), share.max(SHARE_DEFAULT))
     };
     let shares = workspaces.iter().map(share);
-    shares.chain([(NOBODY, 1.0)]).collect()
+    shares.chain([(ANONYMOUS_WORKSPACE, 1.0)]).collect()
 }
--- a/src/serve/online.rs
+++ b/src/serve/online.rs
@@ -1,4 +1,4 @@
-//! The life of one online request: admission, tries, relay of the answer.
+//! The life cycle of one online request: admission, attempts, relay of the answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use tokio::sync::oneshot;
 use tokio::time::{sleep, timeout};
 
-use super::body::{BrokenOff, Piece, ReplyBody};
+use super::body::{BodyAborted, Chunk, ReplyBody};
 use super::dialect::{Ask, PromptPart};
 use super::events::{check_next, Splitter};
 use super::exchange::{self, Answer, Failure, Outgoing, Target};
-use super::node::{Node, NOBODY};
+use super::node::{Node, ANONYMOUS_WORKSPACE};
 use super::quarantine::{self, Trial};
 use super::quotas::{self, Counted};
 use super::replies::{self, Reply};
@@ -29,25 +29,26 @@
 use crate::decide::routes::{Route, RouteKind};
 use crate::id::{self, EndpointId, RequestId, ServiceId, WorkspaceId};
 
-/// Pieces that may wait for a slow caller; beyond that the endpoint's connection is read no faster.
-const PIECES_WAITING: usize = 32;
-/// Bytes of a plain answer that are held until it is whole.
-const WHOLE_BYTES_MAX: usize = 16 * 1024 * 1024;
+/// Chunks that may queue for a slow caller; when the queue is full, reading from the endpoint
+/// pauses.
+const CHUNKS_QUEUED_MAX: usize = 32;
+/// Size limit of a plain answer, which is buffered until it is complete.
+const ANSWER_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Serves one request to its end.
 ///
-/// The work is a task of its own: it sees the caller leave by the receiver's end, closes the
-/// endpoint's connection, and gives back what admission had counted.
+/// The work runs in a task of its own, which notices that the caller disconnected when the receiver
+/// is dropped, then closes the endpoint's connection and returns what admission counted.
 pub async fn serve(
     node: Rc<Node>,
     route: &Route,
     ask: Ask,
     out: Outgoing,
-    shown: Credential,
+    credential: Credential,
     service: ServiceId,
 ) -> Reply {
     let (head_sender, head) = oneshot::channel();
-    let (pieces_sender, pieces) = mpsc::channel(PIECES_WAITING);
+    let (pieces_sender, pieces) = mpsc::channel(CHUNKS_QUEUED_MAX);
     let now = clock::now();
     let counted = match quotas::admit(&node, &out) {
         Ok(counted) => counted,
@@ -55,23 +56,23 @@
     };
     let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
     let (request, actions) = node.register();
-    let work = Work {
+    let work = RequestTask {
         node: node.clone(),
         request,
         actions,
         kind: route.kind,
         resumable: route.kind == RouteKind::Streaming && route.resumable,
         last_event: ask.last_event,
-        began_at_event: ask.last_event,
+        attempt_start_event: ask.last_event,
         may_have_run: false,
         out: Rc::new(out),
         arrived_at: now,
         deadline: now + patience,
-        head: Some(head_sender),
-        pieces: pieces_sender,
-        kept: None,
+        reply_start: Some(head_sender),
+        chunks: pieces_sender,
+        error_answer: None,
         public: route.public,
-        shown,
+        shown: credential,
         counted,
         attempts: 0,
         sent_at: None,
@@ -89,23 +90,23 @@
         resumable: work.resumable,
         attempts_max: route.attempts_max,
     };
-    node.busy.set(node.busy.get() + 1);
-    node.tell(Event::Arrived(arrival));
+    node.open_requests.set(node.open_requests.get() + 1);
+    node.handle_event(Event::Arrived(arrival));
     tokio::task::spawn_local(work.run());
     match head.await {
-        Ok(Head::Own(reply)) => reply,
-        Ok(Head::Relayed(parts, whole)) => relay(parts, whole, pieces),
-        // The task ended without an answer, which it never does while the caller waits.
+        Ok(ReplyStart::Local(reply)) => reply,
+        Ok(ReplyStart::Relayed(parts, whole)) => relayed_reply(parts, whole, pieces),
+        // The task ended without a reply, which never happens while the caller waits.
         Err(_) => replies::refusal(RefusalKind::EndpointFailed, false, None),
     }
 }
 
-/// The workspace as admission counts it.
+/// The workspace id that admission counts by.
 fn workspace_id(out: &Outgoing) -> WorkspaceId {
-    out.workspace.as_deref().map_or(NOBODY, id::of)
+    out.workspace.as_deref().map_or(ANONYMOUS_WORKSPACE, id::of)
 }
 
-/// That of the workspace goes before that of the route.
+/// A workspace's priority overrides that of the route.
 fn priority(node: &Node, out: &Outgoing, route: &Route) -> u32 {
     let routes = node.routes();
     let workspaces = routes.as_ref().and_then(|table| table.workspaces.as_ref());
@@ -115,8 +116,9 @@
     own.unwrap_or(route.priority)
 }
 
-/// The part of the prompt that other requests are likeliest to share, as a key: the last part but
-/// one stands for all before it, since parts are kept only after the same parts. 0 for none.
+/// Key of the prompt prefix that other requests most likely share, or 0. The last segment but one
+/// stands for all segments before it, because a segment is cached only after the same preceding
+/// segments.
 fn shared_prefix(prompt: &[PromptPart]) -> u64 {
     match prompt {
         [] => 0,
@@ -125,24 +127,24 @@
     }
 }
 
-fn relay(parts: response::Parts, whole: Option<Bytes>, pieces: Receiver<Piece>) -> Reply {
+fn relayed_reply(parts: response::Parts, whole: Option<Bytes>, pieces: Receiver<Chunk>) -> Reply {
     let body = match whole {
         Some(bytes) => ReplyBody::Whole(Some(bytes)),
-        None => ReplyBody::Pieces(pieces),
+        None => ReplyBody::Chunks(pieces),
     };
     Response::from_parts(parts, body)
 }
 
-/// What the caller's handler gets.
-enum Head {
-    /// This system's own answer.
-    Own(Reply),
-    /// An endpoint's answer, with its body when it is whole.
+/// The start of a reply, which the caller's handler receives.
+enum ReplyStart {
+    /// A reply of this system.
+    Local(Reply),
+    /// The head of an endpoint's answer, with the body if it is complete.
     Relayed(response::Parts, Option<Bytes>),
 }
 
-/// How a try went.
-enum Tried {
+/// The outcome of an attempt.
+enum AttemptResult {
     Done,
     Failed(Failure),
     CallerLeft,
@@ -150,87 +152,89 @@
     Late,
 }
 
-/// What came first.
-enum Woken<T> {
+/// The first of several awaited events.
+enum WaitResult<T> {
     Value(T),
     CallerLeft,
     Late,
-    /// Nothing comes from the endpoint any more.
+    /// The scheduler gave up the attempt because the endpoint is silent.
     GivenUp,
 }
 
-struct Work {
+struct RequestTask {
     node: Rc<Node>,
     request: RequestId,
     actions: UnboundedReceiver<Action>,
     kind: RouteKind,
     resumable: bool,
-    /// The last event that the caller has.
+    /// The last event that the caller received.
     last_event: Option<u64>,
-    /// The same when the last try was sent.
-    began_at_event: Option<u64>,
-    /// Whether any try may have run.
+    /// The value of `last_event` when the last attempt was sent.
+    attempt_start_event: Option<u64>,
+    /// Whether any attempt may have run.
     may_have_run: bool,
     out: Rc<Outgoing>,
     arrived_at: Duration,
     deadline: Duration,
-    /// Taken once an answer began.
-    head: Option<oneshot::Sender<Head>>,
-    pieces: Sender<Piece>,
-    /// The route asks for no key.
+    /// `None` once a reply has begun.
+    reply_start: Option<oneshot::Sender<ReplyStart>>,
+    chunks: Sender<Chunk>,
+    /// The route requires no key.
     public: bool,
-    /// What the caller showed to say who it is.
+    /// The caller's credential.
     shown: Credential,
-    /// Where the request was counted against a quota.
+    /// The quota that the request was counted against.
     counted: Option<Counted>,
-    /// A failure that an endpoint answered, to pass on when no other try does better.
-    kept: Option<(response::Parts, Bytes)>,
+    /// An error answer of an endpoint, passed on if no other attempt succeeds.
+    error_answer: Option<(response::Parts, Bytes)>,
     attempts: u32,
-    /// When the last try was sent.
+    /// When the last attempt was sent.
     sent_at: Option<Duration>,
-    /// Where it was sent.
+    /// The endpoint it was sent to.
     sent_to: String,
-    /// When the first event, or the whole answer, was there.
+    /// When the first event, or the complete answer, was available.
     first_at: Option<Duration>,
 }
 
-impl Drop for Work {
+impl Drop for RequestTask {
     fn drop(&mut self) {
         self.node.unregister(self.request);
-        self.node.busy.set(self.node.busy.get().saturating_sub(1));
+        self.node
+            .open_requests
+            .set(self.node.open_requests.get().saturating_sub(1));
     }
 }
 
-impl Work {
+impl RequestTask {
     async fn run(mut self) {
         loop {
-            let left = self.left();
+            let left = self.time_left();
             let next = tokio::select! {
                 biased;
-                action = self.actions.recv() => Woken::Value(action),
-                () = self.pieces.closed() => Woken::CallerLeft,
-                () = sleep(left) => Woken::Late,
+                action = self.actions.recv() => WaitResult::Value(action),
+                () = self.chunks.closed() => WaitResult::CallerLeft,
+                () = sleep(left) => WaitResult::Late,
             };
             match next {
-                Woken::Value(Some(Action::Send { endpoint, .. })) => {
+                WaitResult::Value(Some(Action::Send { endpoint, .. })) => {
                     if self.send(endpoint).await {
                         return;
                     }
                 }
-                Woken::Value(Some(Action::Refuse {
+                WaitResult::Value(Some(Action::Refuse {
                     kind,
                     not_run,
                     retry_after,
                     ..
                 })) => return self.refuse(kind, not_run, retry_after).await,
-                Woken::Value(Some(Action::GiveUp { .. })) | Woken::GivenUp => {}
-                Woken::Value(None) | Woken::CallerLeft => {
-                    self.tell_ended(AttemptOutcome::Abandoned);
+                WaitResult::Value(Some(Action::GiveUp { .. })) | WaitResult::GivenUp => {}
+                WaitResult::Value(None) | WaitResult::CallerLeft => {
+                    self.report_end(AttemptOutcome::Abandoned);
                     self.log("caller_left", "waiting");
                     return;
                 }
-                Woken::Late => {
-                    self.tell_ended(AttemptOutcome::Abandoned);
+                WaitResult::Late => {
+                    self.report_end(AttemptOutcome::Abandoned);
                     let not_run = self.attempts == 0;
                     return self
                         .refuse(RefusalKind::DeadlinePassed, not_run, None)
@@ -240,63 +244,66 @@
         }
     }
 
-    /// Makes one try; true when the request has ended.
+    /// Makes one attempt; true if the request has ended.
     async fn send(&mut self, endpoint: EndpointId) -> bool {
         if let Err(kind) = self.identify_again() {
-            self.tell_ended(AttemptOutcome::Abandoned);
+            self.report_end(AttemptOutcome::Abandoned);
             self.refuse(kind, true, None).await;
             return true;
         }
         if let Err(back_in) = quarantine::admit(&self.node, &self.out, Trial::OneOfAll) {
-            self.tell_ended(AttemptOutcome::Abandoned);
+            self.report_end(AttemptOutcome::Abandoned);
             let not_run = !self.may_have_run;
             self.refuse(RefusalKind::Quarantined, not_run, Some(back_in))
                 .await;
             return true;
         }
         self.attempts += 1;
-        self.began_at_event = self.last_event;
+        self.attempt_start_event = self.last_event;
         self.sent_at = Some(clock::now());
-        self.sent_to = self.name_of(endpoint);
+        self.sent_to = self.endpoint_name(endpoint);
         let tried = match self.node.target(endpoint) {
             Some(target) => self.attempt(&target).await,
-            None => Tried::Failed(Failure::unblamed(
+            None => AttemptResult::Failed(Failure::unblamed(
                 AttemptStage::NotSent,
                 "the endpoint is gone",
             )),
         };
         match tried {
-            Tried::Done => {
+            AttemptResult::Done => {
                 self.node
                     .counters
                     .attempts
                     .with_label_values(&["done"])
                     .inc();
-                self.node.counters.whole.observe(self.age().as_secs_f64());
+                self.node
+                    .counters
+                    .answer_seconds
+                    .observe(self.age().as_secs_f64());
                 quarantine::answered(&self.node, &self.out);
-                self.tell_ended(AttemptOutcome::Done);
+                self.report_end(AttemptOutcome::Done);
                 self.log("done", "answered");
                 true
             }
-            Tried::CallerLeft => {
-                self.tell_ended(AttemptOutcome::Abandoned);
+            AttemptResult::CallerLeft => {
+                self.report_end(AttemptOutcome::Abandoned);
                 self.log("caller_left", "answering");
                 true
             }
-            Tried::Late => {
-                self.tell_ended(AttemptOutcome::Abandoned);
+            AttemptResult::Late => {
+                self.report_end(AttemptOutcome::Abandoned);
                 self.refuse(RefusalKind::DeadlinePassed, false, None).await;
                 true
             }
-            Tried::Failed(failure) => {
+            AttemptResult::Failed(failure) => {
                 self.failed(endpoint, failure).await;
                 false
             }
         }
     }
 
-    /// Whose request it is by the rules in force now, which may be newer than when it came in and waited. A run that may
-    /// have begun goes on for whom it began.
+    /// Identifies the caller again by the configuration in force now, which may have changed while
+    /// the request waited. A run that may have begun keeps its workspace.
     fn identify_again(&mut self) -> Result<(), RefusalKind> {
         if self.may_have_run {
             return Ok(());
@@ -324,7 +331,7 @@
         Ok(())
     }
 
-    /// A try failed; the deciding part says what follows.
+    /// Handles a failed attempt; the scheduler decides what follows.
     async fn failed(&mut self, endpoint: EndpointId, failure: Failure) {
         self.may_have_run |= matches!(
             failure.reach,
@@ -332,10 +339,10 @@
         );
         let target = self.node.target(endpoint).filter(|_| failure.lost);
         let ended = match target {
-            Some(target) => self.lost(&target).await,
-            None => failure.ended,
+            Some(target) => self.connection_lost(&target).await,
+            None => failure.endpoint_ended,
         };
-        if failure.ended {
+        if failure.endpoint_ended {
             quarantine::endpoint_ended(&self.node, endpoint);
         }
         let name: &'static str = failure.reach.into();
@@ -345,7 +352,7 @@
         log::info!(
             request = self.out.id,
             asked = asked.unwrap_or_default(),
-            endpoint = self.name_of(endpoint),
+            endpoint = self.endpoint_name(endpoint),
             ended,
             attempt = self.attempts,
             reach = name,
@@ -354,38 +361,40 @@
             "try failed"
         );
         let Failure { reach, blame, .. } = failure;
-        self.tell_ended(AttemptOutcome::Failed {
+        self.report_end(AttemptOutcome::Failed {
             reach,
             blame,
             ended,
         });
     }
 
-    /// The connection of the last try broke; true when its endpoint has ended.
-    async fn lost(&self, target: &Target) -> bool {
+    /// Reports that the connection of the last attempt broke; true if its endpoint has ended.
+    async fn connection_lost(&self, target: &Target) -> bool {
         let sent_at = self.sent_at.unwrap_or(self.arrived_at);
         let run = quarantine::Run {
             out: &self.out,
             target,
             ran: clock::now().saturating_sub(sent_at),
-            progressed: self.resumable && self.last_event > self.began_at_event,
+            progressed: self.resumable && self.last_event > self.attempt_start_event,
         };
         quarantine::lost(&self.node, run).await
     }
 
-    async fn attempt(&mut self, target: &Target) -> Tried {
+    async fn attempt(&mut self, target: &Target) -> AttemptResult {
         let node = self.node.clone();
         let out = self.out.clone();
-        let (left, last_event) = (self.left(), self.last_event);
+        let (left, last_event) = (self.time_left(), self.last_event);
         let sent = exchange::send(&node, target, &out, Some(left), last_event);
         let answer = match self.wait(sent).await {
-            Woken::Value(Ok(answer)) => answer,
-            Woken::Value(Err(failure)) => return Tried::Failed(failure),
-            Woken::CallerLeft => return Tried::CallerLeft,
-            Woken::Late => return Tried::Late,
-            Woken::GivenUp => return Tried::Failed(silent(AttemptStage::MaybeSent)),
+            WaitResult::Value(Ok(answer)) => answer,
+            WaitResult::Value(Err(failure)) => return AttemptResult::Failed(failure),
+            WaitResult::CallerLeft => return AttemptResult::CallerLeft,
+            WaitResult::Late => return AttemptResult::Late,
+            WaitResult::GivenUp => {
+                return AttemptResult::Failed(silent_failure(AttemptStage::MaybeSent))
+            }
         };
-        node.heard_answer(self.request);
+        node.note_answer_data(self.request);
         let streams = is_events(&answer.head.headers) && answer.head.status == StatusCode::OK;
         match streams {
             true => self.relay_events(target, answer).await,
@@ -393,20 +402,20 @@
         }
     }
 
-    /// Waits for something of a try, or for what ends it.
-    async fn wait<T>(&mut self, what: impl std::future::Future<Output = T>) -> Woken<T> {
-        let left = self.left();
+    /// Waits for a result of the attempt, or for an event that ends it.
+    async fn wait<T>(&mut self, what: impl std::future::Future<Output = T>) -> WaitResult<T> {
+        let left = self.time_left();
         tokio::select! {
             biased;
-            value = what => Woken::Value(value),
-            () = self.pieces.closed() => Woken::CallerLeft,
-            () = sleep(left) => Woken::Late,
-            _ = self.actions.recv() => Woken::GivenUp,
+            value = what => WaitResult::Value(value),
+            () = self.chunks.closed() => WaitResult::CallerLeft,
+            () = sleep(left) => WaitResult::Late,
+            _ = self.actions.recv() => WaitResult::GivenUp,
         }
     }
 
-    /// Passes an answer on once it is whole.
-    async fn relay_whole(&mut self, target: &Target, answer: Answer) -> Tried {
+    /// Passes an answer on once it is complete.
+    async fn relay_whole(&mut self, target: &Target, answer: Answer) -> AttemptResult {
         let Answer {
             head,
             said,
@@ -414,43 +423,45 @@
             connection,
         } = answer;
         let bytes = match self.wait(collect(body)).await {
-            Woken::Value(Some(bytes)) => bytes,
-            Woken::Value(None) => {
-                return Tried::Failed(Failure::lost(
+            WaitResult::Value(Some(bytes)) => bytes,
+            WaitResult::Value(None) => {
+                return AttemptResult::Failed(Failure::lost(
                     AttemptStage::MaybeSent,
                     "the answer broke off",
                 ))
             }
-            Woken::CallerLeft => return Tried::CallerLeft,
-            Woken::Late => return Tried::Late,
-            Woken::GivenUp => return Tried::Failed(silent(AttemptStage::MaybeSent)),
+            WaitResult::CallerLeft => return AttemptResult::CallerLeft,
+            WaitResult::Late => return AttemptResult::Late,
+            WaitResult::GivenUp => {
+                return AttemptResult::Failed(silent_failure(AttemptStage::MaybeSent))
+            }
         };
         self.node.heard(target.endpoint);
         if let Some(keep_alive) = exchange::keep_alive(&head) {
             self.node.pool.give(target.endpoint, connection, keep_alive);
         }
         if head.status.is_success() && !said.signed {
-            return Tried::Failed(Failure::blamed(
+            return AttemptResult::Failed(Failure::blamed(
                 AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
         }
         let again = self.out.repeatable && head.status.is_server_error();
-        if again || self.head.is_none() {
+        if again || self.reply_start.is_none() {
             let detail = format!("answered {}", head.status.as_u16());
-            self.kept = Some((head, bytes));
-            return Tried::Failed(Failure::blamed(self.reach(), detail));
+            self.error_answer = Some((head, bytes));
+            return AttemptResult::Failed(Failure::blamed(self.stage(), detail));
         }
-        self.node.tell(Event::FirstToken {
+        self.node.handle_event(Event::FirstToken {
             request: self.request,
         });
-        self.begin(head, Some(bytes));
-        Tried::Done
+        self.begin_reply(head, Some(bytes));
+        AttemptResult::Done
     }
 
-    /// Passes events on as they come. The caller sees nothing before the first whole event, so that a
-    /// try which fails earlier can still be made again or refused with a status.
-    async fn relay_events(&mut self, target: &Target, answer: Answer) -> Tried {
+    /// Passes events on as they arrive. The caller receives nothing before the first whole event,
+    /// so that an attempt that fails earlier can be repeated or refused with a status.
+    async fn relay_events(&mut self, target: &Target, answer: Answer) -> AttemptResult {
         let Answer {
             head,
             said,
@@ -458,7 +469,7 @@
             connection,
         } = answer;
         if !said.signed {
-            return Tried::Failed(Failure::blamed(
+            return AttemptResult::Failed(Failure::blamed(
                 AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
@@ -468,29 +479,29 @@
         let mut splitter = Splitter::default();
         loop {
             let frame = match self.wait(body.frame()).await {
-                Woken::Value(frame) => frame,
-                Woken::CallerLeft => return Tried::CallerLeft,
-                Woken::Late => return Tried::Late,
-                Woken::GivenUp => return Tried::Failed(silent(self.reach())),
+                WaitResult::Value(frame) => frame,
+                WaitResult::CallerLeft => return AttemptResult::CallerLeft,
+                WaitResult::Late => return AttemptResult::Late,
+                WaitResult::GivenUp => return AttemptResult::Failed(silent_failure(self.stage())),
             };
             match frame {
                 Some(Ok(frame)) => {
                     self.node.heard(target.endpoint);
-                    self.node.heard_answer(self.request);
+                    self.node.note_answer_data(self.request);
                     let Ok(data) = frame.into_data() else {
                         continue;
                     };
-                    if let Some(ended) = self.pass(&mut splitter, &data, &mut head).await {
+                    if let Some(ended) = self.pass_events(&mut splitter, &data, &mut head).await {
                         return ended;
                     }
                 }
                 Some(Err(error)) => {
                     let detail = format!("the stream broke off: {error}");
-                    return Tried::Failed(Failure::lost(self.reach(), detail));
+                    return AttemptResult::Failed(Failure::lost(self.stage(), detail));
                 }
                 None if splitter.partial() => {
                     let detail = "the stream ended within an event";
-                    return Tried::Failed(Failure::lost(self.reach(), detail));
+                    return AttemptResult::Failed(Failure::lost(self.stage(), detail));
                 }
                 None => break,
             }
@@ -498,21 +509,21 @@
         if let Some(keep_alive) = keep_alive {
             self.node.pool.give(target.endpoint, connection, keep_alive);
         }
-        self.begin_once(&mut head);
-        Tried::Done
+        self.begin_stream(&mut head);
+        AttemptResult::Done
     }
 
-    /// Passes the whole events in `data` on.
-    async fn pass(
+    /// Passes on the whole events in `data`.
+    async fn pass_events(
         &mut self,
         splitter: &mut Splitter,
         data: &[u8],
         head: &mut Option<response::Parts>,
-    ) -> Option<Tried> {
+    ) -> Option<AttemptResult> {
         let events = splitter.push(data);
         if splitter.overlong() {
             let detail = "an event without an end";
-            return Some(Tried::Failed(Failure::blamed(self.reach(), detail)));
+            return Some(AttemptResult::Failed(Failure::blamed(self.stage(), detail)));
         }
         if events.is_empty() {
             return None;
@@ -528,54 +539,54 @@
             self.last_event = event.id.or(self.last_event);
         }
         if !raw.is_empty() {
-            self.begin_once(head);
-            let sent = self.pieces.send(Ok(raw.freeze()));
-            match timeout(self.left(), sent).await {
+            self.begin_stream(head);
+            let sent = self.chunks.send(Ok(raw.freeze()));
+            match timeout(self.time_left(), sent).await {
                 Ok(Ok(())) => {}
-                Ok(Err(_)) => return Some(Tried::CallerLeft),
-                Err(_) => return Some(Tried::Late),
+                Ok(Err(_)) => return Some(AttemptResult::CallerLeft),
+                Err(_) => return Some(AttemptResult::Late),
             }
         }
-        let failure = |detail| Failure::blamed(self.reach(), detail);
-        broken.map(|detail| Tried::Failed(failure(detail)))
+        let failure = |detail| Failure::blamed(self.stage(), detail);
+        broken.map(|detail| AttemptResult::Failed(failure(detail)))
     }
 
-    /// Sends the head when the caller has none yet. After a resumption the first one stands.
-    fn begin_once(&mut self, head: &mut Option<response::Parts>) {
+    /// Sends the head if the caller has none yet. After a resumption the first head stays valid.
+    fn begin_stream(&mut self, head: &mut Option<response::Parts>) {
         let Some(parts) = head.take() else {
             return;
         };
-        self.node.tell(Event::FirstToken {
+        self.node.handle_event(Event::FirstToken {
             request: self.request,
         });
-        if self.head.is_some() {
+        if self.reply_start.is_some() {
             self.node
                 .counters
-                .first_event
+                .first_event_seconds
                 .observe(self.age().as_secs_f64());
-            self.begin(parts, None);
+            self.begin_reply(parts, None);
         }
     }
 
-    fn begin(&mut self, mut parts: response::Parts, whole: Option<Bytes>) {
+    fn begin_reply(&mut self, mut parts: response::Parts, whole: Option<Bytes>) {
         parts.headers = exchange::end_to_end(&parts.headers);
         parts.headers.remove(CONTENT_LENGTH);
-        if let Some(head) = self.head.take() {
+        if let Some(head) = self.reply_start.take() {
             self.first_at = Some(clock::now());
-            // A caller that has left is seen by `pieces`.
-            let _ = head.send(Head::Relayed(parts, whole));
+            // A caller that disconnected is noticed through `chunks`.
+            let _ = head.send(ReplyStart::Relayed(parts, whole));
         }
     }
 
-    /// How far a try has come that fails now.
-    fn reach(&self) -> AttemptStage {
-        match self.head {
+    /// The stage of an attempt that fails now.
+    fn stage(&self) -> AttemptStage {
+        match self.reply_start {
             Some(_) => AttemptStage::MaybeSent,
             None => AttemptStage::Answering,
         }
     }
 
-    /// Gives the final answer, or breaks off an answer that has begun.
+    /// Sends the final reply, or aborts a reply that has begun.
     async fn refuse(&mut self, kind: RefusalKind, not_run: bool, after: Option<Duration>) {
         let name: &'static str = kind.into();
         self.log("refused", name);
@@ -583,23 +594,24 @@
         if let Some(counted) = self.counted.take().filter(|_| not_run) {
             quotas::give_back(&self.node, counted);
         }
-        let Some(head) = self.head.take() else {
-            // The connection is closed without the end of the body, so that it can't look whole.
-            let _ = self.pieces.send(Err(BrokenOff)).await;
+        let Some(head) = self.reply_start.take() else {
+            // The connection is closed without the end of the body, so that the reply can't appear
+            // complete.
+            let _ = self.chunks.send(Err(BodyAborted)).await;
             return;
         };
-        let reply = match self.kept.take() {
+        let reply = match self.error_answer.take() {
             Some((mut parts, bytes)) => {
                 parts.headers = exchange::end_to_end(&parts.headers);
-                Head::Relayed(parts, Some(bytes))
+                ReplyStart::Relayed(parts, Some(bytes))
             }
-            None => Head::Own(replies::refusal(kind, not_run, after)),
+            None => ReplyStart::Local(replies::refusal(kind, not_run, after)),
         };
         let _ = head.send(reply);
     }
 
-    fn tell_ended(&self, outcome: AttemptOutcome) {
-        self.node.tell(Event::Ended {
+    fn report_end(&self, outcome: AttemptOutcome) {
+        self.node.handle_event(Event::Ended {
             request: self.request,
             outcome,
         });
@@ -607,7 +619,7 @@
         self.node.tell_peers.notify_one();
     }
 
-    fn left(&self) -> Duration {
+    fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(clock::now())
     }
 
@@ -615,14 +627,14 @@
         clock::now().saturating_sub(self.arrived_at)
     }
 
-    /// Milliseconds from the arrival to a moment; 0 when there was none.
-    fn after(&self, moment: Option<Duration>) -> u64 {
+    /// Milliseconds from the arrival to `time`; 0 if it is `None`.
+    fn ms_after_arrival(&self, moment: Option<Duration>) -> u64 {
         moment.map_or(0, |at| {
             at.saturating_sub(self.arrived_at).as_millis() as u64
         })
     }
 
-    fn name_of(&self, endpoint: EndpointId) -> String {
+    fn endpoint_name(&self, endpoint: EndpointId) -> String {
         self.node
             .target(endpoint)
             .map_or_else(String::new, |target| target.instance)
@@ -642,18 +654,18 @@
             attempts = self.attempts,
             endpoint = self.sent_to,
             last_event = self.last_event.unwrap_or(0),
-            sent_ms = self.after(self.sent_at),
-            first_ms = self.after(self.first_at),
+            sent_ms = self.ms_after_arrival(self.sent_at),
+            first_ms = self.ms_after_arrival(self.first_at),
             age_ms = self.age().as_millis() as u64,
-            left_ms = self.left().as_millis() as u64,
+            left_ms = self.time_left().as_millis() as u64,
             rules = routes.map_or(0, |table| table.rules.version);
             "request ended"
         );
     }
 }
 
-fn silent(reach: AttemptStage) -> Failure {
-    // The silence was seen by the deciding part, which has counted it against the endpoint.
+fn silent_failure(reach: AttemptStage) -> Failure {
+    // The scheduler detected the silence and has counted it against the endpoint.
     Failure::unblamed(reach, "the endpoint went silent")
 }
 
@@ -664,7 +676,7 @@
     kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// Reads a body to its end; `None` when it breaks off or is too long.
+/// Reads a body to its end; `None` if it breaks off or exceeds the size limit.
 async fn collect(mut body: Incoming) -> Option<Bytes> {
     let mut whole = BytesMut::new();
     while !body.is_end_stream() {
@@ -677,7 +689,7 @@
             Some(Err(_)) => return None,
             None => break,
         }
-        if whole.len() > WHOLE_BYTES_MAX {
+        if whole.len() > ANSWER_BYTES_MAX {
             return None;
         }
     }
--- a/src/serve/pool.rs
+++ b/src/serve/pool.rs
@@ -20,40 +20,40 @@
 use crate::clock;
 use crate::id::EndpointId;
 
-/// A listening process takes a connection within a round trip, milliseconds between failure domains,
-/// and a lost packet is sent again only after a second: waiting between the two gains nothing, and
-/// what is left of the time to the first event is needed for another endpoint.
+/// A listening process accepts a connection within a round trip, which takes milliseconds between
+/// failure domains, and a lost packet is sent again only after a second. Waiting longer gains
+/// nothing, and the rest of the time to the first event is needed for another endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(100);
-/// A host that takes connections for a process that is gone closes them within this time.
+/// A host that accepts connections for a process that is gone closes them within this time.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(20);
-/// How long a connection is kept whose endpoint names no timeout.
-const IDLE_DEFAULT: Duration = Duration::from_secs(2);
-/// Part of the endpoint's own idle timeout after which a connection is not used again: a request
-/// that crosses the endpoint's close is lost, and may not be repeated.
-const IDLE_SHARE: f64 = 0.6;
-/// Idle connections kept to one endpoint; as many as its slots is what is used at once.
-const IDLE_MAX: usize = 8;
-
-/// Why a try brought no head.
+/// How long an idle connection is kept if its endpoint names no timeout.
+const IDLE_TIMEOUT_DEFAULT: Duration = Duration::from_secs(2);
+/// Part of the endpoint's idle timeout after which a connection is not used again: a request that
+/// crosses the endpoint's close is lost and may not be repeatable.
+const IDLE_TIMEOUT_SHARE: f64 = 0.6;
+/// Idle connections kept to one endpoint: about its number of slots, which is what is used at once.
+const IDLE_CONNECTIONS_MAX: usize = 8;
+
+/// Why an attempt received no head.
 #[derive(Debug, Snafu, Clone, PartialEq)]
 pub enum Error {
     /// No byte reached the endpoint.
     #[snafu(display("not sent: {detail}"))]
     NotSent { detail: String },
-    /// Nor will it: its host says that nothing listens there.
+    /// The host refused the connection: no process listens at the address.
     #[snafu(display("not sent: {detail}"))]
     TurnedAway { detail: String },
-    /// It may have got the request.
+    /// The endpoint may have received the request.
     #[snafu(display("no answer: {detail}"))]
     NoAnswer { detail: String },
 }
 
-/// One connection. Dropping it resets the socket at once, which tells the endpoint to stop, and drops what was
-/// not sent yet.
+/// One connection. Dropping it resets the socket at once, which makes the endpoint stop, and
+/// discards unsent data.
 pub struct Connection {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    /// No request was sent on it before, so no stray answer can be on its way.
+    /// No request was sent on it before, so no stray answer can arrive.
     pub fresh: bool,
 }
 
@@ -69,20 +69,21 @@
         let not_sent = |detail: String| Error::NotSent { detail };
         let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = match connect {
-            Ok(stream) => stream.map_err(unopened)?,
+            Ok(stream) => stream.map_err(connect_error)?,
             Err(_) => return Err(not_sent("the connection did not open in time".into())),
         };
         let nodelay = stream.set_nodelay(true);
         nodelay.map_err(|error| not_sent(error.to_string()))?;
-        // The failure: the way to an endpoint is cut, a request is given up there and answered by another one, and
-        // its bytes, which the kernel still holds, arrive when the way is back, seconds after the endpoint said that
-        // it leaves. A reset drops them.
+        // A reset on close discards data that the kernel has not sent yet. Without it, when the
+        // network to an endpoint is cut and a request is given up there and answered by another
+        // endpoint, its bytes would still arrive once the network is back, seconds after the
+        // endpoint announced that it is leaving.
         let reset = stream.set_zero_linger();
         reset.map_err(|error| not_sent(error.to_string()))?;
         let handshake = http1::handshake(TokioIo::new(stream)).await;
         let (sender, connection) = handshake.map_err(|error| not_sent(error.to_string()))?;
         let task = tokio::task::spawn_local(async move {
-            // Its error also reaches whoever waits for the answer.
+            // The error is also returned to the task that waits for the answer.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -92,7 +93,7 @@
         })
     }
 
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the answer.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -118,7 +119,7 @@
     until: Duration,
 }
 
-fn unopened(error: std::io::Error) -> Error {
+fn connect_error(error: std::io::Error) -> Error {
     let detail = error.to_string();
     match error.kind() {
         ErrorKind::ConnectionRefused => Error::TurnedAway { detail },
@@ -126,8 +127,8 @@
     }
 }
 
-/// Whether nothing serves at an address any more, by the word of its host: it refuses a connection, or closes it at once, as
-/// what stands in front of a process does.
+/// Whether the host of an address reports that no process serves there: it refuses a connection, or
+/// closes it at once, as a proxy in front of a process does.
 pub async fn turns_away(address: &str) -> bool {
     let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let mut stream = match connect {
@@ -135,7 +136,7 @@
         Ok(Err(error)) => return error.kind() == ErrorKind::ConnectionRefused,
         Err(_) => return false,
     };
-    // An endpoint that serves says nothing before it is asked.
+    // A serving endpoint sends nothing before it receives a request.
     timeout(CLOSE_TIMEOUT, stream.read(&mut [0])).await.is_ok()
 }
 
@@ -146,7 +147,7 @@
 }
 
 impl Pool {
-    /// An idle connection to an endpoint, the one used last.
+    /// Takes the most recently used idle connection to an endpoint.
     pub fn take(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         let rows = idle.get_mut(&endpoint)?;
@@ -159,12 +160,15 @@
         None
     }
 
-    /// Keeps a connection whose answer was read to its end. `keep_alive` is the endpoint's timeout.
+    /// Keeps a connection whose answer was read to its end. `keep_alive` is the endpoint's idle
+    /// timeout.
     pub fn give(&self, endpoint: EndpointId, connection: Connection, keep_alive: Option<Duration>) {
-        let life = keep_alive.map_or(IDLE_DEFAULT, |life| life.mul_f64(IDLE_SHARE));
+        let life = keep_alive.map_or(IDLE_TIMEOUT_DEFAULT, |life| {
+            life.mul_f64(IDLE_TIMEOUT_SHARE)
+        });
         let mut idle = self.idle.borrow_mut();
         let rows = idle.entry(endpoint).or_default();
-        if rows.len() < IDLE_MAX {
+        if rows.len() < IDLE_CONNECTIONS_MAX {
             let until = clock::now() + life;
             rows.push(Idle { connection, until });
         }
@@ -175,7 +179,7 @@
         self.idle.borrow_mut().remove(&endpoint);
     }
 
-    /// Closes what has been idle too long, or is closed by the endpoint.
+    /// Closes connections that have been idle too long or that the endpoint closed.
     pub fn tick(&self, now: Duration) {
         let mut idle = self.idle.borrow_mut();
         for rows in idle.values_mut() {
--- a/src/serve/registration.rs
+++ b/src/serve/registration.rs
@@ -13,13 +13,13 @@
 use crate::id;
 use crate::store::{Call, Error, Reply, Txn};
 
-/// Life of a registration. Its lapse is what lets other VMs take over, so it is short beside the
+/// Lease of a registration. Other VMs take over when it expires, so it is short compared with the
 /// time that a batch job has; three renewals fit into it.
-const LEASE: Duration = Duration::from_secs(3);
-/// Time between two renewals.
-const RENEW: Duration = Duration::from_millis(900);
+const LEASE_TTL: Duration = Duration::from_secs(3);
+/// Interval between renewals.
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Keeps this VM registered under a lease until the process drains.
+/// Keeps this VM registered under a lease for as long as the process runs.
 pub async fn register(node: Rc<Node>) {
     let key = format!("{VMS}{}", node.settings.name);
     let record = VmRecord {
@@ -39,7 +39,7 @@
             lease => node.store.call(Call::Renew(lease)).await.map(|_| lease),
         };
         let outcome = match kept {
-            Err(Error::NoLease) => enter(&node, &key, &value).await,
+            Err(Error::NoLease) => write_registration(&node, &key, &value).await,
             other => other,
         };
         match outcome {
@@ -52,14 +52,18 @@
                 log::info!(error:% = error; "the registration could not be renewed");
             }
         }
-        sleep(RENEW).await;
+        sleep(RENEW_INTERVAL).await;
     }
 }
 
-/// Writes the registration under a new lease. An entry of an earlier start, which is there for as long as its
-/// lease, is read only when it is in the way.
-async fn enter(node: &Node, key: &str, value: &bytes::Bytes) -> Result<id::Revision, Error> {
-    let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: LEASE }).await? else {
+/// Writes the registration under a new lease. An entry of an earlier start, which remains until its
+/// lease expires, is read only if it prevents the write.
+async fn write_registration(
+    node: &Node,
+    key: &str,
+    value: &bytes::Bytes,
+) -> Result<id::Revision, Error> {
+    let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: LEASE_TTL }).await? else {
         return Err(Error::NoLease);
     };
     let mut written = write_entry(node, key, value, lease, 0).await?;
@@ -73,7 +77,7 @@
             log::info!(lease, revision; "registered");
             Ok(lease)
         }
-        // The entry of an earlier start lapsed meanwhile; the next try finds none.
+        // The entry of an earlier start expired meanwhile; the next attempt finds none.
         None => Err(Error::NoLease),
     }
 }
--- a/src/serve/replies.rs
+++ b/src/serve/replies.rs
@@ -1,4 +1,4 @@
-//! Answers of this system's own.
+//! Replies that this system generates itself.
 
 use std::time::Duration;
 
@@ -10,17 +10,18 @@
 use super::body::ReplyBody;
 use crate::decide::refusal::RefusalKind;
 
-/// An answer to a caller.
+/// A reply to a caller.
 pub type Reply = Response<ReplyBody>;
 
-/// A refusal. The status says "not run" (503) only where that is true; `after` is when to come back.
+/// A refusal. A status that promises "not run" (503) is used only where that is true; `retry_after`
+/// is when the caller should retry.
 pub fn refusal(kind: RefusalKind, not_run: bool, after: Option<Duration>) -> Reply {
     let status = match (kind.status(), not_run) {
-        // Nothing ran, and the same request may do later: say so.
+        // Nothing ran, and the same request may succeed later.
         (502 | 504, true) => 503,
-        // These two promise "not run".
+        // 429 and 503 promise "not run".
         (429 | 503, false) => 502,
-        // The outcome of a try is not known: the caller's own pages decide what to do then.
+        // The outcome of an attempt is unknown; the caller has to decide what to do.
         (409, false) => 502,
         (status, _) => status,
     };
@@ -38,7 +39,7 @@
     reply
 }
 
-/// A body of JSON.
+/// A reply with a JSON body.
 pub fn json(status: u16, body: Bytes) -> Reply {
     let mut reply = empty(status);
     let json = HeaderValue::from_static("application/json");
@@ -47,7 +48,7 @@
     reply
 }
 
-/// A body of bytes.
+/// A reply with a binary body.
 pub fn bytes(body: Bytes) -> Reply {
     let mut reply = empty(200);
     let octets = HeaderValue::from_static("application/octet-stream");
@@ -56,7 +57,7 @@
     reply
 }
 
-/// A status alone.
+/// A reply without a body.
 pub fn empty(status: u16) -> Reply {
     let mut reply = Response::new(ReplyBody::Whole(None));
     *reply.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -1,4 +1,4 @@
-//! Signals, and the planned stop that cuts no request.
+//! Signals, and the graceful stop that interrupts no request.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,22 +12,22 @@
 use crate::clock;
 use crate::logging;
 
-/// Time between two looks at what is left.
-const LOOK: Duration = Duration::from_millis(50);
-/// What is left of the grace when everything is cut: enough to write a last line and exit.
-const RESERVE: Duration = Duration::from_millis(300);
+/// Interval at which open requests and runs are checked while draining.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Part of the stop limit that is kept for the last log lines and the exit once requests are cut.
+const EXIT_TIME: Duration = Duration::from_millis(300);
 /// Time for closed connections to reach their callers before the process ends.
-const FAREWELL: Duration = Duration::from_millis(100);
+const CLOSE_TIME: Duration = Duration::from_millis(100);
 
-/// Time for the last lines to be written; with the farewell it stays within the reserve.
-const LAST_LINES: Duration = Duration::from_millis(150);
+/// Timeout for writing the last log lines; together with `CLOSE_TIME` it stays within `EXIT_TIME`.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Waits for the end of the process; returns when it may exit.
+/// Waits for a stop signal and drains the process; returns when it may exit.
 ///
-/// The failure: a process that stops listening at once, or closes connections that callers keep,
-/// cuts requests that are on their way. So it first stops being ready and goes on taking requests
-/// until the balancer has sent callers elsewhere, then closes idle connections, then waits for what
-/// is in hand.
+/// A process that stops listening at once, or closes connections that callers keep open, cuts
+/// requests that are on their way. So the process first reports that it is not ready and continues
+/// to accept requests until the load balancer has sent callers to other VMs, then closes idle
+/// connections, then waits for open requests.
 pub async fn wait(node: Rc<Node>) -> std::io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -36,7 +36,7 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = interrupt.recv() => break,
-            // All that may change while the process runs comes from the store.
+            // Everything that may change while the process runs comes from the store.
             _ = reload.recv() => log::info!("reload: settings are read at the next start"),
         }
     }
@@ -44,7 +44,7 @@
     Ok(())
 }
 
-/// Waits for the end of a process that holds nothing.
+/// Waits for a stop signal in a process without state to drain.
 pub fn wait_for_signal() -> std::io::Result<()> {
     let mut signals = signal_hook::iterator::Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     for signal in signals.forever() {
@@ -60,23 +60,23 @@
 async fn drain(node: &Node) {
     let started = clock::now();
     node.core.borrow_mut().stage = Stage::Draining;
-    log::info!(requests = node.busy.get(); "stop: draining");
+    log::info!(requests = node.open_requests.get(); "stop: draining");
     node.plan_items.notify_one();
     node.tell_peers.notify_one();
     let drain = Duration::from_millis(node.settings.drain_ms);
-    let limit = Duration::from_millis(node.settings.stop_limit_ms).saturating_sub(RESERVE);
+    let limit = Duration::from_millis(node.settings.stop_limit_ms).saturating_sub(EXIT_TIME);
     sleep(drain.min(limit)).await;
-    // From here on a request could not be ended before the process is: callers who still come are
-    // turned away before they have sent anything, and try another VM.
+    // From here on a request could not be finished before the process ends: callers that still
+    // connect are refused before they have sent anything, and use another VM.
     node.listening.set(false);
     node.closing.notify_waiters();
-    while clock::now() < started + limit && (node.busy.get() > 0 || runs::busy(node)) {
-        sleep(LOOK).await;
-        // Connections that were taken meanwhile.
+    while clock::now() < started + limit && (node.open_requests.get() > 0 || runs::busy(node)) {
+        sleep(CHECK_INTERVAL).await;
+        // Also reaches connections that were accepted meanwhile.
         node.closing.notify_waiters();
     }
-    sleep(FAREWELL).await;
+    sleep(CLOSE_TIME).await;
     let took_ms = clock::now().saturating_sub(started).as_millis() as u64;
-    log::info!(requests = node.busy.get(), took_ms; "stop: ended");
-    logging::flush(LAST_LINES);
+    log::info!(requests = node.open_requests.get(), took_ms; "stop: ended");
+    logging::flush(LOG_FLUSH_TIMEOUT);
 }
--- a/src/serve/stopping.rs
+++ b/src/serve/stopping.rs
@@ -1,22 +1,23 @@
-//! Stops work in a way that what has arrived by then still counts.
+//! Stops work without losing a result that has already arrived.
 
 use std::future::Future;
 
 use tokio::sync::Notify;
 use tokio::task::yield_now;
 
-/// Turns that other tasks get between the stop and its effect: one in which the sockets are looked at, one
-/// for the task that reads the connection, one for whoever waits for what it read.
-const TURNS: usize = 3;
+/// Scheduler yields between the stop signal and its effect: one to poll the sockets, one for the
+/// task that reads the connection, one for the task that waits for the result.
+const YIELDS: usize = 3;
 
-/// Does something until it is told to stop; `None` when it was stopped.
+/// Runs a future until it completes or is stopped; `None` if it was stopped.
 ///
-/// The failure: an endpoint says that an item can never be done, the answer lies in the socket, and the
-/// run is taken back in the same moment. The item goes out again, and again, to the same answer.
+/// Results that have arrived by then still count. Otherwise, when an endpoint answers that an item
+/// can never succeed and the run is preempted while the answer is still in the socket, the item
+/// would be sent again and again for the same answer.
 pub async fn unless_stopped<T>(what: impl Future<Output = T>, stop: &Notify) -> Option<T> {
     let stopped = async {
         stop.notified().await;
-        for _ in 0..TURNS {
+        for _ in 0..YIELDS {
             yield_now().await;
         }
     };
--- a/src/serve/summary.rs
+++ b/src/serve/summary.rs
@@ -1,4 +1,4 @@
-//! One log line every ten seconds with what a process has done since the last one.
+//! Logs what the process has done, one line every ten seconds.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,29 +9,29 @@
 use crate::clock;
 use crate::decide::idle::IdleReason;
 
-/// Time between two lines: six a minute, whatever the load.
-const PAUSE: Duration = Duration::from_secs(10);
+/// Interval between lines.
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Kinds of calls on the store, in the order of the line's fields.
-const CALLS: [&str; 6] = ["get", "range", "watch", "commit", "grant", "renew"];
+/// Kinds of store calls, in the order of the line's fields.
+const STORE_CALL_KINDS: [&str; 6] = ["get", "range", "watch", "commit", "grant", "renew"];
 
-/// Writes lines until the process ends.
+/// Logs lines until the process ends.
 pub async fn run(node: Rc<Node>) {
-    let mut last = [0; CALLS.len()];
+    let mut last = [0; STORE_CALL_KINDS.len()];
     loop {
-        sleep(PAUSE).await;
-        let calls = CALLS.map(|kind| count(&node, kind));
+        sleep(LOG_INTERVAL).await;
+        let calls = STORE_CALL_KINDS.map(|kind| call_count(&node, kind));
         let since: Vec<u64> = calls
             .iter()
             .zip(last)
             .map(|(now, then)| now - then)
             .collect();
         last = calls;
-        tell(&node, &since);
+        log_summary(&node, &since);
     }
 }
 
-fn count(node: &Node, kind: &str) -> u64 {
+fn call_count(node: &Node, kind: &str) -> u64 {
     let of = |outcome| {
         node.counters
             .store_calls
@@ -40,13 +40,13 @@
     of("answered").get() + of("failed").get()
 }
 
-fn tell(node: &Node, calls: &[u64]) {
+fn log_summary(node: &Node, calls: &[u64]) {
     let now = clock::now();
     let core = node.core.borrow();
     let (items, items_running) = core.items.counts();
     let rows = &core.online.endpoints.rows;
     log::info!(
-        requests = node.busy.get(),
+        requests = node.open_requests.get(),
         queued = core.online.waiting(now).iter().map(|lane| lane.queued).sum::<usize>(),
         items,
         items_running,
--- a/src/serve/why.rs
+++ b/src/serve/why.rs
@@ -1,4 +1,4 @@
-//! What waits at this process, for what, and until when: for operators.
+//! Page for operators: the work that waits at this process, what it waits for, and until when.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -9,34 +9,34 @@
 use crate::clock;
 use crate::decide::online::ServiceQueue;
 
-/// One thing that waits.
+/// One waiting request, item or process state.
 #[derive(Debug, Serialize)]
 pub struct Row {
     pub what: String,
     pub waits_for: String,
-    /// When it is given up, or too late, in milliseconds from now; absent where it waits for ever.
+    /// Milliseconds until it is given up or too late; absent if it waits indefinitely.
     pub until_ms: Option<u64>,
 }
 
 #[derive(Serialize)]
-struct Page<'a> {
+struct WaitingPage<'a> {
     vm: &'a str,
     waiting: Vec<Row>,
 }
 
-/// The page of all that waits here.
+/// The page of everything that waits at this process.
 pub fn page(node: &Node) -> Bytes {
-    let mut waiting = process(node);
-    waiting.extend(online(node));
+    let mut waiting = process_rows(node);
+    waiting.extend(online_rows(node));
     waiting.extend(runs::waiting(node, clock::now()));
-    encode(&Page {
+    encode(&WaitingPage {
         vm: &node.settings.name,
         waiting,
     })
 }
 
-/// What keeps the process itself from serving.
-fn process(node: &Node) -> Vec<Row> {
+/// Conditions that keep the process itself from serving.
+fn process_rows(node: &Node) -> Vec<Row> {
     let core = node.core.borrow();
     let missing = [
         (core.routes.is_none(), "the first rules"),
@@ -53,7 +53,7 @@
     missing.map(|(_, waits_for)| row(waits_for)).collect()
 }
 
-fn online(node: &Node) -> Vec<Row> {
+fn online_rows(node: &Node) -> Vec<Row> {
     let now = clock::now();
     let core = node.core.borrow();
     let queued = core.online.waiting(now).into_iter();
