--- a/src/serve.rs
+++ b/src/serve.rs
@@ -98,13 +98,13 @@
         node.clone(),
         operators,
         inside::PAGE_CONNECTION_LIFETIME_MAX,
-        inside::operators,
+        inside::operator_pages,
     ));
     spawn_local(inside::serve(
         node.clone(),
         peers,
         inside::PEER_LIFE,
-        inside::peers,
+        inside::peer_pages,
     ));
     spawn_local(peers::send(node.clone(), socket.clone()));
     spawn_local(peers::receive(node.clone(), socket.clone()));
--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -31,44 +31,44 @@
     let Some(limit_tokens) = route.waiting_tokens_max else {
         return Ok(());
     };
-    let asked = Reserved {
+    let requested = Reserved {
         job: record.id.clone(),
         tokens: record.open_tokens(),
     };
     let key = backlog::key(&route.name, record.workspace.as_deref());
     let workspace = &record.workspace;
-    let way = {
+    let path = {
         let now = clock::now();
         let view = backlog_view(node, now, key, limit_tokens);
         let mut core = node.core.borrow_mut();
-        let way = core
+        let path = core
             .backlog
-            .request_admission(now, key, &asked.job, asked.tokens, view);
+            .request_admission(now, key, &requested.job, requested.tokens, view);
         log::info!(
-            job = *asked.job,
-            tokens = asked.tokens,
+            job = *requested.job,
+            tokens = requested.tokens,
             waiting = view.waiting_tokens,
             limit = view.limit_tokens,
             vms = view.vms,
-            way:? = way;
-            "job asks to be let in"
+            way:? = path;
+            "job requests admission"
         );
-        way
+        path
     };
-    match way {
+    match path {
         AdmissionPath::Share => Ok(()),
-        AdmissionPath::Reserve => reserve(node, key, workspace, limit_tokens, &asked).await,
+        AdmissionPath::Reserve => reserve(node, key, workspace, limit_tokens, &requested).await,
         AdmissionPath::Full => {
-            Err(refuse_or_repeat(node, key, workspace, limit_tokens, &asked).await)
+            Err(refuse_or_repeat(node, key, workspace, limit_tokens, &requested).await)
         }
     }
 }
 
 /// Records how the write of an admitted job ended.
-pub fn settled(node: &Node, job: &JobId, settled: &Settled) {
+pub fn settled(node: &Node, job: &JobId, outcome: &Settled) {
     let now = clock::now();
     let mut core = node.core.borrow_mut();
-    match settled {
+    match outcome {
         Settled::Won(_) => core.backlog.job_written(now, job),
         // The job was accepted earlier or by another VM, or nothing was written.
         Settled::Lost(_) | Settled::Away(_) => core.backlog.job_abandoned(job),
@@ -97,22 +97,22 @@
 fn backlog_view(node: &Node, now: Duration, route: RouteKey, limit_tokens: u64) -> BacklogView {
     let core = node.core.borrow();
     let by_records = core.jobs.open_tokens(route);
-    let by_word = core.jobs.open_tokens_of(route, |owner| {
+    let by_reports = core.jobs.open_tokens_of(route, |owner| {
         owner == node.owner || !core.peers.reports_waiting(now, owner)
     });
-    let told = by_word + core.peers.backlog(now, route, node.domain, node.vm);
+    let reported = by_reports + core.peers.backlog(now, route, node.domain, node.vm);
     let writing = core
         .backlog
         .being_written(route, |job| core.jobs.rows.contains_key(job));
     // In a large fleet the local records lag behind the totals that VMs report.
-    let known = if core.peers.is_large() {
-        told
+    let waiting = if core.peers.is_large() {
+        reported
     } else {
-        by_records.max(told)
+        by_records.max(reported)
     };
     BacklogView {
         limit_tokens: with_overage(limit_tokens, node.settings.waiting_overage),
-        waiting_tokens: known + writing,
+        waiting_tokens: waiting + writing,
         vms: core.peers.admitting_vms() + 1,
     }
 }
@@ -128,47 +128,50 @@
     route: RouteKey,
     workspace: &Option<Name>,
     limit_tokens: u64,
-    asked: &Reserved,
+    requested: &Reserved,
 ) -> Result<(), Reply> {
     let key = format!("{RESERVATIONS_PREFIX}{route:016x}");
-    let (mut before, mut revision) = read_reservations(node, &key).await?;
+    let (mut current, mut revision) = read_reservations(node, &key).await?;
     for _ in 0..RESERVE_ATTEMPTS_MAX {
         let now = clock::now();
         let view = backlog_view(node, now, route, limit_tokens);
-        let after = {
+        let updated = {
             let mut guard = node.core.borrow_mut();
             let core = &mut *guard;
-            let known = |job: &JobId| core.jobs.rows.contains_key(job);
+            let has_record = |job: &JobId| core.jobs.rows.contains_key(job);
             let nonce = util::nonce();
             core.backlog
-                .reserve(now, route, &before, asked, view, known, nonce)
+                .reserve(now, route, &current, requested, view, has_record, nonce)
         };
-        let Some(after) = after else {
-            return Err(refuse_or_repeat(node, route, workspace, limit_tokens, asked).await);
+        let Some(updated) = updated else {
+            return Err(refuse_or_repeat(node, route, workspace, limit_tokens, requested).await);
         };
         let txn = Txn {
             expect: vec![(key.clone(), revision)],
-            writes: vec![write(key.clone(), encode(&after))],
+            writes: vec![write(key.clone(), encode(&updated))],
             deletes: Vec::new(),
         };
         match node.store.commit(txn, WRITE_TIMEOUT).await {
             Settled::Won(_) => {
                 let now = clock::now();
-                node.core.borrow_mut().backlog.reserved(now, route, asked);
+                node.core
+                    .borrow_mut()
+                    .backlog
+                    .reserved(now, route, requested);
                 return Ok(());
             }
             Settled::Lost(Some(found)) => {
-                before = decode(&key, &found.value);
+                current = decode(&key, &found.value);
                 revision = found.revision;
             }
-            Settled::Lost(None) => (before, revision) = (Reservations::default(), 0),
+            Settled::Lost(None) => (current, revision) = (Reservations::default(), 0),
             Settled::Away(detail) | Settled::Unknown(detail) => {
-                log::warn!(job = *asked.job, detail; "job refused: no reservation could be written");
+                log::warn!(job = *requested.job, detail; "job refused: no reservation could be written");
                 return Err(store_unavailable());
             }
         }
     }
-    log::info!(job = *asked.job; "job refused: other VMs' reservations came first each time");
+    log::info!(job = *requested.job; "job refused: each write of the reservation lost to another VM");
     Err(store_unavailable())
 }
 
@@ -204,26 +207,28 @@
     route: RouteKey,
     workspace: &Option<Name>,
     limit_tokens: u64,
-    asked: &Reserved,
+    requested: &Reserved,
 ) -> Reply {
-    let standing = reread(node, &asked.job).await;
-    if let Ok(record) = &standing {
+    let existing = reread(node, &requested.job).await;
+    if let Ok(record) = &existing {
         return accepted_before(record, workspace);
     }
-    if standing.is_err_and(|reply| reply.status() != 404) {
+    if existing.is_err_and(|reply| reply.status() != 404) {
         return store_unavailable();
     }
     let now = clock::now();
     let view = backlog_view(node, now, route, limit_tokens);
     let core = node.core.borrow();
-    let after = core.backlog.return_after(now, route, asked.tokens, view);
+    let retry_after = core
+        .backlog
+        .return_after(now, route, requested.tokens, view);
     log::info!(
-        job = *asked.job,
-        tokens = asked.tokens,
+        job = *requested.job,
+        tokens = requested.tokens,
         waiting = view.waiting_tokens,
         limit = view.limit_tokens,
-        after_ms = after.as_millis() as u64;
-        "job refused: too much waits"
+        after_ms = retry_after.as_millis() as u64;
+        "job refused: the route's limit on waiting tokens is reached"
     );
-    replies::refusal(RefusalKind::TooMuchWaiting, true, Some(after))
+    replies::refusal(RefusalKind::TooMuchWaiting, true, Some(retry_after))
 }
--- a/src/serve/body.rs
+++ b/src/serve/body.rs
@@ -10,7 +10,7 @@
 
 /// The reply can't be completed; the connection is closed so that the caller notices.
 #[derive(Debug, Snafu, Clone, Copy, PartialEq, Eq)]
-#[snafu(display("the answer broke off"))]
+#[snafu(display("the reply was aborted"))]
 pub struct BodyAborted;
 
 /// A chunk of a stream, or its failure.
@@ -33,9 +33,9 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyAborted>>> {
         match self.get_mut() {
             ReplyBody::Whole(bytes) => Poll::Ready(bytes.take().map(Frame::data).map(Ok)),
-            ReplyBody::Chunks(pieces) => {
-                let piece = pieces.poll_recv(context);
-                piece.map(|piece| piece.map(|piece| piece.map(Frame::data)))
+            ReplyBody::Chunks(chunks) => {
+                let chunk = chunks.poll_recv(context);
+                chunk.map(|chunk| chunk.map(|chunk| chunk.map(Frame::data)))
             }
         }
     }
--- a/src/serve/callers.rs
+++ b/src/serve/callers.rs
@@ -66,7 +66,7 @@
                 tokio::task::spawn_local(serve_connection(node.clone(), stream));
             }
             Err(error) => {
-                log::warn!(error:% = error; "connections can't be taken");
+                log::warn!(error:% = error; "connections can't be accepted");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -75,7 +75,7 @@
 
 async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     let limits = node.routes().map(|table| table.rules.limits.clone());
-    let idle = limits
+    let idle_timeout = limits
         .as_ref()
         .map_or(IDLE_TIMEOUT_DEFAULT, |limits| limits.idle_timeout);
     let head_bytes = limits.map_or(HEAD_BYTES_DEFAULT, |limits| limits.head_bytes);
@@ -85,7 +85,7 @@
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(idle)
+        .header_read_timeout(idle_timeout)
         .max_buf_size(head_bytes.max(BUFFER_BYTES_MIN))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
@@ -111,11 +111,11 @@
 async fn dispatch(node: Rc<Node>, request: Request<Incoming>) -> Reply {
     let (head, body) = request.into_parts();
     let Some(routes) = node.routes() else {
-        log::info!(path = head.uri.path(); "refused: no rules are known yet");
+        log::info!(path = head.uri.path(); "refused: no configuration is loaded yet");
         return replies::refusal(RefusalKind::NotReady, true, Some(STARTING_RETRY_AFTER));
     };
-    let call = (node.dialect.call)(&head);
-    if call == Call::Routed {
+    let operation = (node.dialect.call)(&head);
+    if operation == Call::Routed {
         return serve_routed(node, routes, head, body).await;
     }
     let public = has_public_jobs(&routes.rules);
@@ -123,7 +123,7 @@
         Ok(caller) => caller.name(),
         Err(kind) => return unidentified_reply(kind),
     };
-    match call {
+    match operation {
         Call::Results { job, after, wait } => {
             results::results(node, &caller, job, after, wait).await
         }
@@ -148,11 +148,11 @@
     head: &hyper::http::request::Parts,
 ) -> Result<access::CallerIdentity<'a>, RefusalKind> {
     let now = clock::now();
-    let shown = (node.dialect.credential)(&head.headers);
+    let credential = (node.dialect.credential)(&head.headers);
     let workspaces = routes.workspaces.as_ref();
     let caller = {
         let core = node.core.borrow();
-        access::identify_caller(now, workspaces, public, shown, &core.proofs)
+        access::identify_caller(now, workspaces, public, credential, &core.proofs)
     };
     caller.inspect_err(|kind| {
         let reason: &'static str = kind.into();
@@ -160,14 +160,14 @@
         let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
         let path = head.uri.path();
         node.counters.refused.with_label_values(&[reason]).inc();
-        log::info!(path, reason, version, proof_age_ms; "refused: no workspace is known by this key");
+        log::info!(path, reason, version, proof_age_ms; "refused: the key identifies no workspace");
     })
 }
 
 /// The reply to a caller that could not be identified.
 fn unidentified_reply(kind: RefusalKind) -> Reply {
-    let retry = (kind == RefusalKind::NotReady).then_some(UNCONFIRMED_RETRY_AFTER);
-    replies::refusal(kind, true, retry)
+    let retry_after = (kind == RefusalKind::NotReady).then_some(UNCONFIRMED_RETRY_AFTER);
+    replies::refusal(kind, true, retry_after)
 }
 
 async fn serve_routed(
@@ -176,14 +176,14 @@
     head: hyper::http::request::Parts,
     body: Incoming,
 ) -> Reply {
-    let ask = (node.dialect.ask)(&head);
-    let Some(route) = routes.find(&ask.host, head.uri.path()) else {
+    let params = (node.dialect.ask)(&head);
+    let Some(route) = routes.find(&params.host, head.uri.path()) else {
         let version = routes.rules.version;
         let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
-        let (host, path) = (ask.host, head.uri.path());
-        let sure = node.core.borrow().proofs.are_rules_fresh(clock::now());
-        log::info!(host, path, version, proof_age_ms, sure; "refused: no such route");
-        return match sure {
+        let (host, path) = (params.host, head.uri.path());
+        let fresh = node.core.borrow().proofs.are_rules_fresh(clock::now());
+        log::info!(host, path, version, proof_age_ms, sure = fresh; "refused: no such route");
+        return match fresh {
             true => replies::refusal(RefusalKind::NotFound, true, None),
             false => replies::refusal(RefusalKind::NotReady, true, Some(UNCONFIRMED_RETRY_AFTER)),
         };
@@ -197,7 +197,7 @@
         Err(kind) => return replies::refusal(kind, true, None),
     };
     if route.kind == RouteKind::Batch {
-        return jobs::submit(node, route, caller.name(), ask, body).await;
+        return jobs::submit(node, route, caller.name(), params, body).await;
     }
     let target = head
         .uri
@@ -208,11 +208,11 @@
         // Endpoints receive the workspace's name, never the key.
         headers.remove(AUTHORIZATION);
     }
-    if let Ok(host) = HeaderValue::from_str(&ask.host) {
+    if let Ok(host) = HeaderValue::from_str(&params.host) {
         headers.insert(HOST, host);
     }
     let out = Outgoing {
-        id: ask.id.clone().unwrap_or_default(),
+        id: params.id.clone().unwrap_or_default(),
         method: head.method.clone(),
         target: target.to_owned(),
         headers,
@@ -221,8 +221,8 @@
         workspace: caller.name(),
     };
     let service = route.pick(util::rng().random());
-    let shown = (node.dialect.credential)(&head.headers);
-    online::serve(node, route, ask, out, shown, service).await
+    let credential = (node.dialect.credential)(&head.headers);
+    online::serve(node, route, params, out, credential, service).await
 }
 
 /// Reads a whole body.
--- a/src/serve/events.rs
+++ b/src/serve/events.rs
@@ -29,7 +29,7 @@
 pub fn check_next(last: Option<u64>, event: Option<u64>) -> Result<(), String> {
     match (last, event) {
         (Some(last), Some(event)) if event != last + 1 => {
-            Err(format!("event {event} came in place of {}", last + 1))
+            Err(format!("received event {event}, expected {}", last + 1))
         }
         _ => Ok(()),
     }
@@ -38,7 +38,7 @@
 /// Buffers the bytes of an event that is not complete yet.
 #[derive(Debug, Default)]
 pub struct Splitter {
-    rest: BytesMut,
+    buffer: BytesMut,
     /// Bytes of `rest` that have been searched for the end of the event.
     searched: usize,
 }
@@ -50,10 +50,10 @@
     /// had received the first half, the stream could not resume at another endpoint without a
     /// broken or repeated event.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
-        self.rest.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
         while let Some(end) = self.event_end() {
-            let raw = self.rest.split_to(end).freeze();
+            let raw = self.buffer.split_to(end).freeze();
             self.searched = 0;
             events.push(Event {
                 id: event_id(&raw),
@@ -65,27 +65,27 @@
 
     /// Whether part of an event is buffered.
     pub fn partial(&self) -> bool {
-        !self.rest.is_empty()
+        !self.buffer.is_empty()
     }
 
     /// Whether the unfinished event exceeds the size limit.
     pub fn overlong(&self) -> bool {
-        self.rest.len() > EVENT_BYTES_MAX
+        self.buffer.len() > EVENT_BYTES_MAX
     }
 
     /// Length of the first whole event, which may end in LF or CRLF lines.
     fn event_end(&mut self) -> Option<usize> {
         // An end may begin within the last three bytes already searched.
         let from = self.searched.saturating_sub(3);
-        let found = (from..self.rest.len()).find_map(|at| {
-            let tail = &self.rest[at..];
+        let found = (from..self.buffer.len()).find_map(|at| {
+            let tail = &self.buffer[at..];
             match tail {
                 [b'\n', b'\n', ..] => Some(at + 2),
                 [b'\n', b'\r', b'\n', ..] => Some(at + 3),
                 _ => None,
             }
         });
-        self.searched = self.rest.len();
+        self.searched = self.buffer.len();
         found
     }
 }
--- a/src/serve/exchange.rs
+++ b/src/serve/exchange.rs
@@ -158,37 +158,37 @@
     node: &Node,
     target: &Target,
     out: &Outgoing,
-    left: Option<Duration>,
+    time_left: Option<Duration>,
     last_event: Option<u64>,
 ) -> Result<Answer, Failure> {
-    let kept = match out.repeatable {
+    let idle = match out.repeatable {
         true => node.pool.take(target.endpoint),
         false => None,
     };
-    let mut connection = match kept {
+    let mut connection = match idle {
         Some(connection) => connection,
         None => open(node, target).await?,
     };
-    let fresh = connection.fresh;
-    let request = build_request(node, target, out, left, last_event)?;
+    let unused = connection.fresh;
+    let request = build_request(node, target, out, time_left, last_event)?;
     let response = match connection.send(request).await {
         Ok(response) => response,
         // The endpoint had closed the idle connection: nothing was sent, so a new connection may
         // work.
-        Err(pool::Error::NotSent { .. }) if !fresh => {
+        Err(pool::Error::NotSent { .. }) if !unused => {
             connection = open(node, target).await?;
-            let request = self::build_request(node, target, out, left, last_event)?;
+            let request = self::build_request(node, target, out, time_left, last_event)?;
             connection.send(request).await.map_err(failure_of)?
         }
         Err(error) => return Err(failure_of(error)),
     };
     node.heard(target.endpoint);
     let (head, body) = response.into_parts();
-    let said = (node.dialect.answer)(head.status, &head.headers);
-    check_answer(&out.id, fresh, &said)?;
+    let decoded = (node.dialect.answer)(head.status, &head.headers);
+    check_answer(&out.id, unused, &decoded)?;
     Ok(Answer {
         head,
-        said,
+        said: decoded,
         body,
         connection,
     })
@@ -215,7 +215,7 @@
     node: &Node,
     target: &Target,
     out: &Outgoing,
-    left: Option<Duration>,
+    time_left: Option<Duration>,
     last_event: Option<u64>,
 ) -> Result<Request<Full<Bytes>>, Failure> {
     let unsendable = |detail: String| Failure::unblamed(AttemptStage::NotSent, detail);
@@ -229,7 +229,7 @@
     *request.headers_mut() = out.headers.clone();
     let attempt = Attempt {
         instance: &target.instance,
-        left,
+        left: time_left,
         last_event,
         workspace: out.workspace.as_deref(),
     };
@@ -242,23 +242,23 @@
 /// An endpoint may send an answer twice, and the second copy would be read as the answer to the
 /// next request on the connection. The echoed id prevents that; an answer without an id is accepted
 /// only on a connection that carried no request before.
-fn check_answer(id: &str, fresh: bool, said: &AnswerHead) -> Result<(), Failure> {
-    match &said.attempt {
+fn check_answer(id: &str, unused: bool, decoded: &AnswerHead) -> Result<(), Failure> {
+    match &decoded.attempt {
         Some(echoed) if echoed != id => {
-            let detail = format!("the answer is to {echoed}");
+            let detail = format!("the answer belongs to attempt {echoed}");
             return Err(Failure::blamed(AttemptStage::MaybeSent, detail));
         }
-        None if !fresh => {
+        None if !unused => {
             return Err(Failure::blamed(
                 AttemptStage::MaybeSent,
-                "the answer names no request",
+                "the answer has no attempt id",
             ));
         }
         _ => {}
     }
-    if said.not_run {
+    if decoded.not_run {
         return Err(Failure {
-            blame: said.elsewhere,
+            blame: decoded.elsewhere,
             ..Failure::blamed(AttemptStage::Refused, "refused")
         });
     }
--- a/src/serve/inside.rs
+++ b/src/serve/inside.rs
@@ -106,7 +106,9 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => return stream,
-            Err(error) => log::warn!(error:% = error; "connections to the pages can't be taken"),
+            Err(error) => {
+                log::warn!(error:% = error; "connections to the internal pages can't be accepted")
+            }
         }
         sleep(ACCEPT_RETRY_DELAY).await;
     }
@@ -117,20 +119,20 @@
 pub async fn serve<F: Future<Output = Reply> + 'static>(
     node: Rc<Node>,
     listener: TcpListener,
-    life: Duration,
-    pages: impl Fn(Rc<Node>, Request<Incoming>) -> F + Copy + 'static,
+    lifetime_max: Duration,
+    handler: impl Fn(Rc<Node>, Request<Incoming>) -> F + Copy + 'static,
 ) {
     loop {
         let stream = accept(&listener).await;
         let node = node.clone();
         spawn_local(async move {
             let service = service_fn(|request| {
-                let reply = pages(node.clone(), request);
+                let reply = handler(node.clone(), request);
                 async move { Ok::<Reply, Infallible>(reply.await) }
             });
             let served = http1::Builder::new().serve_connection(TokioIo::new(stream), service);
             // An error is a client that disconnected, or the end of the lifetime.
-            let _ = timeout(life, served).await;
+            let _ = timeout(lifetime_max, served).await;
         });
     }
 }
@@ -144,7 +146,7 @@
 }
 
 /// Pages for operators: metrics, the state dump, waiting work and the quarantine.
-pub async fn operators(node: Rc<Node>, request: Request<Incoming>) -> Reply {
+pub async fn operator_pages(node: Rc<Node>, request: Request<Incoming>) -> Reply {
     match request.uri().path() {
         "/metrics" => {
             update_idle_counters(&node);
@@ -194,7 +196,7 @@
 }
 
 /// Requests from other VMs.
-pub async fn peers(node: Rc<Node>, request: Request<Incoming>) -> Reply {
+pub async fn peer_pages(node: Rc<Node>, request: Request<Incoming>) -> Reply {
     match request.uri().path() {
         relay::PATH => relay::answer(&node, request.into_body()).await,
         path if path.starts_with(live_watch::PATH) => live_watch::answer(&node, path).await,
@@ -223,14 +225,14 @@
         cancelled: job.record.cancelled,
         runs_here: job.record.owner == node.owner,
     };
-    let proof = |subject| ConfirmationRow {
+    let confirmation = |subject| ConfirmationRow {
         subject,
         age_ms: core
             .proofs
             .age(now, subject)
             .map(|age| age.as_millis() as u64),
     };
-    let proofs = StoreSubject::iter().map(proof).collect();
+    let proofs = StoreSubject::iter().map(confirmation).collect();
     let dump = Dump {
         vm: node.settings.name.to_string(),
         stage: core.stage.into(),
--- a/src/serve/node.rs
+++ b/src/serve/node.rs
@@ -98,12 +98,12 @@
 
     /// Applies the confirmation ages that another VM reports; `theirs` are the versions it has.
     pub fn take_proofs(&mut self, now: Duration, ages: ConfirmationAges, theirs: KnownVersions) {
-        let own = self.versions();
-        let knows = VersionsMatch {
-            rules: own.rules >= theirs.rules,
-            endpoints: own.endpoints >= theirs.endpoints,
+        let local = self.versions();
+        let matches = VersionsMatch {
+            rules: local.rules >= theirs.rules,
+            endpoints: local.endpoints >= theirs.endpoints,
         };
-        self.proofs.confirm_by_peer(now, ages, knows);
+        self.proofs.confirm_by_peer(now, ages, matches);
     }
 
     /// Stores a job's record, and counts the tokens that it newly shows as finished.
@@ -193,7 +193,7 @@
                 let node = node.clone();
                 move |call| {
                     if let Some(node) = node.upgrade() {
-                        node.note_call(&call);
+                        node.note_store_call(&call);
                     }
                 }
             });
@@ -235,7 +235,7 @@
     /// fail while the watches wait for half a minute, and the items of an ended job would run on.
     /// So each failure restarts the watches. Writes are excluded: their answers can be lost while
     /// reads still succeed.
-    fn note_call(&self, call: &EndedCall) {
+    fn note_store_call(&self, call: &EndedCall) {
         let outcome = if call.answered { "answered" } else { "failed" };
         let counter = &self.counters.store_calls;
         counter.with_label_values(&[call.kind, outcome]).inc();
@@ -298,12 +298,12 @@
     pub fn take_rules(&self, rules: Rules, from: &str) {
         let proof_age_ms = self.confirmation_age_ms(StoreSubject::Rules);
         let mut core = self.core.borrow_mut();
-        let known = core.routes.as_ref().map(|table| table.rules.version);
-        if known.is_some_and(|known| rules.version <= known) {
+        let current = core.routes.as_ref().map(|table| table.rules.version);
+        if current.is_some_and(|current| rules.version <= current) {
             return;
         }
-        let before = known.unwrap_or(0);
-        log::info!(version = rules.version, before, from, proof_age_ms; "rules taken");
+        let before = current.unwrap_or(0);
+        log::info!(version = rules.version, before, from, proof_age_ms; "configuration applied");
         core.online.services = services(&rules);
         core.routes = Some(Rc::new(RouteTable::new(rules)));
         drop(core);
@@ -317,21 +317,21 @@
         let now = clock::now();
         let proof_age_ms = self.confirmation_age_ms(StoreSubject::Endpoints);
         let mut core = self.core.borrow_mut();
-        let news = core.discovery.take_transitions();
+        let transitions = core.discovery.take_transitions();
         let kept = core.discovery.kept_count() as f64;
         self.counters.endpoints_kept.set(kept);
         let failed_ms = core.discovery.store_failed_for(now);
         let failed_ms = failed_ms.map_or(-1, |age| age.as_millis() as i64);
-        for one in news {
-            let transition: &'static str = one.transition.into();
+        for event in transitions {
+            let transition: &'static str = event.transition.into();
             let labels = [transition, from];
             let counter = &self.counters.endpoint_transitions;
             counter.with_label_values(&labels).inc();
             log::info!(
-                endpoint = *one.name,
+                endpoint = *event.name,
                 transition,
                 from,
-                revision = one.revision,
+                revision = event.revision,
                 store_failed_ms = failed_ms,
                 proof_age_ms;
                 "endpoint"
@@ -351,23 +351,27 @@
     fn rebuild_endpoints(&self, from: &str) {
         let mut guard = self.core.borrow_mut();
         let core = &mut *guard;
-        let declared = core.discovery.declared();
-        let draining: Vec<EndpointId> = declared
+        let configured = core.discovery.declared();
+        let draining: Vec<EndpointId> = configured
             .iter()
             .filter(|(.., draining)| *draining)
             .map(|(id, ..)| *id)
             .collect();
         log::info!(
-            endpoints = declared.len(),
+            endpoints = configured.len(),
             draining = draining.len(),
             revision = core.discovery.revision,
             from;
-            "endpoints taken"
+            "endpoints applied"
         );
         let endpoints = &mut core.online.endpoints;
-        let stayed = endpoints.rows.iter().filter(|row| row.leaving.is_none());
-        let mut gone: Vec<EndpointId> = stayed.map(|row| row.id).collect();
-        endpoints.configure(declared.into_iter().map(|(id, declared, _)| (id, declared)));
+        let in_service = endpoints.rows.iter().filter(|row| row.leaving.is_none());
+        let mut gone: Vec<EndpointId> = in_service.map(|row| row.id).collect();
+        endpoints.configure(
+            configured
+                .into_iter()
+                .map(|(id, declared, _)| (id, declared)),
+        );
         gone.retain(|id| endpoints.get(*id).is_none());
         for id in draining {
             if let Some(row) = endpoints.get_mut(id) {
@@ -401,9 +405,9 @@
     /// Passes an event of a request to the online scheduler.
     pub fn handle_event(&self, event: Event) {
         let mut core = self.core.borrow_mut();
-        let mut out = Vec::new();
-        core.online.handle(clock::now(), event, &mut out);
-        self.dispatch(&mut core, out);
+        let mut actions = Vec::new();
+        core.online.handle(clock::now(), event, &mut actions);
+        self.dispatch(&mut core, actions);
     }
 
     /// Records that data arrived from an endpoint.
@@ -436,11 +440,11 @@
     /// Runs everything that depends on time alone.
     pub fn tick(&self) {
         let now = clock::now();
-        let own = self.own();
+        let local_vm = self.own();
         let mut guard = self.core.borrow_mut();
         let core = &mut *guard;
         core.usage.tick(now);
-        if core.peers.tick(now, own) {
+        if core.peers.tick(now, local_vm) {
             // Otherwise the use by other VMs would be counted twice for a while: in their own
             // reports and in the domain summaries.
             core.usage = Usage::default();
@@ -455,9 +459,9 @@
             !core.peers.receives_domain_heartbeats(self.vm, self.domain);
         let changed = core.discovery.tick(now);
         note_uses(core);
-        let mut out = Vec::new();
-        core.online.tick(now, &mut out);
-        self.dispatch(core, out);
+        let mut actions = Vec::new();
+        core.online.tick(now, &mut actions);
+        self.dispatch(core, actions);
         drop(guard);
         self.endpoints_told("time", changed);
         quarantine::tick(self);
@@ -545,9 +549,9 @@
 fn shares(rules: &Rules) -> HashMap<WorkspaceId, f64> {
     let workspaces = rules.workspaces.as_deref().unwrap_or_default();
     let rate = |workspace: &Workspace| workspace.quota.map_or(0.0, |quota| quota.rate_per_s);
-    let all: f64 = workspaces.iter().map(rate).sum();
+    let total: f64 = workspaces.iter().map(rate).sum();
     let share = |workspace: &Workspace| {
-        let share = rate(workspace) / all.max(f64::EPSILON);
+        let share = rate(workspace) / total.max(f64::EPSILON);
         (workspace.id(), share.max(SHARE_DEFAULT))
     };
     let shares = workspaces.iter().map(share);
--- a/src/serve/online.rs
+++ b/src/serve/online.rs
@@ -42,37 +42,39 @@
 pub async fn serve(
     node: Rc<Node>,
     route: &Route,
-    ask: Ask,
+    params: Ask,
     out: Outgoing,
     credential: Credential,
     service: ServiceId,
 ) -> Reply {
-    let (head_sender, head) = oneshot::channel();
-    let (pieces_sender, pieces) = mpsc::channel(CHUNKS_QUEUED_MAX);
+    let (reply_sender, reply_start) = oneshot::channel();
+    let (chunk_sender, chunks) = mpsc::channel(CHUNKS_QUEUED_MAX);
     let now = clock::now();
     let counted = match quotas::admit(&node, &out) {
         Ok(counted) => counted,
-        Err(after) => return replies::refusal(RefusalKind::QuotaUsed, true, Some(after)),
+        Err(retry_after) => {
+            return replies::refusal(RefusalKind::QuotaUsed, true, Some(retry_after))
+        }
     };
-    let patience = ask.patience.unwrap_or(route.timeout).min(route.timeout);
+    let time_limit = params.patience.unwrap_or(route.timeout).min(route.timeout);
     let (request, actions) = node.register();
-    let work = RequestTask {
+    let task = RequestTask {
         node: node.clone(),
         request,
         actions,
         kind: route.kind,
         resumable: route.kind == RouteKind::Streaming && route.resumable,
-        last_event: ask.last_event,
-        attempt_start_event: ask.last_event,
+        last_event: params.last_event,
+        attempt_start_event: params.last_event,
         may_have_run: false,
         out: Rc::new(out),
         arrived_at: now,
-        deadline: now + patience,
-        reply_start: Some(head_sender),
-        chunks: pieces_sender,
+        deadline: now + time_limit,
+        reply_start: Some(reply_sender),
+        chunks: chunk_sender,
         error_answer: None,
         public: route.public,
-        shown: credential,
+        credential,
         counted,
         attempts: 0,
         sent_at: None,
@@ -81,21 +83,21 @@
     };
     let arrival = Arrival {
         request,
-        workspace: workspace_id(&work.out),
-        priority: priority(&node, &work.out, route),
+        workspace: workspace_id(&task.out),
+        priority: priority(&node, &task.out, route),
         service,
-        prefix: shared_prefix(&ask.prompt),
-        deadline: now + patience,
+        prefix: shared_prefix(&params.prompt),
+        deadline: now + time_limit,
         idempotent: route.repeatable(),
-        resumable: work.resumable,
+        resumable: task.resumable,
         attempts_max: route.attempts_max,
     };
     node.open_requests.set(node.open_requests.get() + 1);
     node.handle_event(Event::Arrived(arrival));
-    tokio::task::spawn_local(work.run());
-    match head.await {
+    tokio::task::spawn_local(task.run());
+    match reply_start.await {
         Ok(ReplyStart::Local(reply)) => reply,
-        Ok(ReplyStart::Relayed(parts, whole)) => relayed_reply(parts, whole, pieces),
+        Ok(ReplyStart::Relayed(parts, whole)) => relayed_reply(parts, whole, chunks),
         // The task ended without a reply, which never happens while the caller waits.
         Err(_) => replies::refusal(RefusalKind::EndpointFailed, false, None),
     }
@@ -112,8 +114,8 @@
     let workspaces = routes.as_ref().and_then(|table| table.workspaces.as_ref());
     let workspace = workspaces.zip(out.workspace.as_deref());
     let workspace = workspace.and_then(|(workspaces, name)| workspaces.named(name));
-    let own = workspace.and_then(|workspace| workspace.priority);
-    own.unwrap_or(route.priority)
+    let priority = workspace.and_then(|workspace| workspace.priority);
+    priority.unwrap_or(route.priority)
 }
 
 /// Key of the prompt prefix that other requests most likely share, or 0. The last segment but one
@@ -127,10 +129,10 @@
     }
 }
 
-fn relayed_reply(parts: response::Parts, whole: Option<Bytes>, pieces: Receiver<Chunk>) -> Reply {
+fn relayed_reply(parts: response::Parts, whole: Option<Bytes>, chunks: Receiver<Chunk>) -> Reply {
     let body = match whole {
         Some(bytes) => ReplyBody::Whole(Some(bytes)),
-        None => ReplyBody::Chunks(pieces),
+        None => ReplyBody::Chunks(chunks),
     };
     Response::from_parts(parts, body)
 }
@@ -148,15 +150,14 @@
     Done,
     Failed(Failure),
     CallerLeft,
-    /// The deadline passed.
-    Late,
+    DeadlinePassed,
 }
 
 /// The first of several awaited events.
 enum WaitResult<T> {
     Value(T),
     CallerLeft,
-    Late,
+    DeadlinePassed,
     /// The scheduler gave up the attempt because the endpoint is silent.
     GivenUp,
 }
@@ -182,7 +183,7 @@
     /// The route requires no key.
     public: bool,
     /// The caller's credential.
-    shown: Credential,
+    credential: Credential,
     /// The quota that the request was counted against.
     counted: Option<Counted>,
     /// An error answer of an endpoint, passed on if no other attempt succeeds.
@@ -208,12 +209,12 @@
 impl RequestTask {
     async fn run(mut self) {
         loop {
-            let left = self.time_left();
+            let time_left = self.time_left();
             let next = tokio::select! {
                 biased;
                 action = self.actions.recv() => WaitResult::Value(action),
                 () = self.chunks.closed() => WaitResult::CallerLeft,
-                () = sleep(left) => WaitResult::Late,
+                () = sleep(time_left) => WaitResult::DeadlinePassed,
             };
             match next {
                 WaitResult::Value(Some(Action::Send { endpoint, .. })) => {
@@ -233,7 +234,7 @@
                     self.log("caller_left", "waiting");
                     return;
                 }
-                WaitResult::Late => {
+                WaitResult::DeadlinePassed => {
                     self.report_end(AttemptOutcome::Abandoned);
                     let not_run = self.attempts == 0;
                     return self
@@ -262,14 +263,14 @@
         self.attempt_start_event = self.last_event;
         self.sent_at = Some(clock::now());
         self.sent_to = self.endpoint_name(endpoint);
-        let tried = match self.node.target(endpoint) {
+        let result = match self.node.target(endpoint) {
             Some(target) => self.attempt(&target).await,
             None => AttemptResult::Failed(Failure::unblamed(
                 AttemptStage::NotSent,
                 "the endpoint is gone",
             )),
         };
-        match tried {
+        match result {
             AttemptResult::Done => {
                 self.node
                     .counters
@@ -290,7 +291,7 @@
                 self.log("caller_left", "answering");
                 true
             }
-            AttemptResult::Late => {
+            AttemptResult::DeadlinePassed => {
                 self.report_end(AttemptOutcome::Abandoned);
                 self.refuse(RefusalKind::DeadlinePassed, false, None).await;
                 true
@@ -318,7 +319,7 @@
                 clock::now(),
                 workspaces,
                 self.public,
-                self.shown,
+                self.credential,
                 &core.proofs,
             )?
         };
@@ -348,17 +349,17 @@
         let name: &'static str = failure.reach.into();
         let attempts = &self.node.counters.attempts;
         attempts.with_label_values(&[name]).inc();
-        let asked = failure.lost.then(|| self.out.fingerprint().to_string());
+        let fingerprint = failure.lost.then(|| self.out.fingerprint().to_string());
         log::info!(
             request = self.out.id,
-            asked = asked.unwrap_or_default(),
+            asked = fingerprint.unwrap_or_default(),
             endpoint = self.endpoint_name(endpoint),
             ended,
             attempt = self.attempts,
             reach = name,
             detail = failure.detail,
             age_ms = self.age().as_millis() as u64;
-            "try failed"
+            "attempt failed"
         );
         let Failure { reach, blame, .. } = failure;
         self.report_end(AttemptOutcome::Failed {
@@ -383,13 +384,13 @@
     async fn attempt(&mut self, target: &Target) -> AttemptResult {
         let node = self.node.clone();
         let out = self.out.clone();
-        let (left, last_event) = (self.time_left(), self.last_event);
-        let sent = exchange::send(&node, target, &out, Some(left), last_event);
+        let (time_left, last_event) = (self.time_left(), self.last_event);
+        let sent = exchange::send(&node, target, &out, Some(time_left), last_event);
         let answer = match self.wait(sent).await {
             WaitResult::Value(Ok(answer)) => answer,
             WaitResult::Value(Err(failure)) => return AttemptResult::Failed(failure),
             WaitResult::CallerLeft => return AttemptResult::CallerLeft,
-            WaitResult::Late => return AttemptResult::Late,
+            WaitResult::DeadlinePassed => return AttemptResult::DeadlinePassed,
             WaitResult::GivenUp => {
                 return AttemptResult::Failed(silent_failure(AttemptStage::MaybeSent))
             }
@@ -403,13 +404,13 @@
     }
 
     /// Waits for a result of the attempt, or for an event that ends it.
-    async fn wait<T>(&mut self, what: impl std::future::Future<Output = T>) -> WaitResult<T> {
-        let left = self.time_left();
+    async fn wait<T>(&mut self, future: impl std::future::Future<Output = T>) -> WaitResult<T> {
+        let time_left = self.time_left();
         tokio::select! {
             biased;
-            value = what => WaitResult::Value(value),
+            value = future => WaitResult::Value(value),
             () = self.chunks.closed() => WaitResult::CallerLeft,
-            () = sleep(left) => WaitResult::Late,
+            () = sleep(time_left) => WaitResult::DeadlinePassed,
             _ = self.actions.recv() => WaitResult::GivenUp,
         }
     }
@@ -418,7 +419,7 @@
     async fn relay_whole(&mut self, target: &Target, answer: Answer) -> AttemptResult {
         let Answer {
             head,
-            said,
+            said: decoded,
             body,
             connection,
         } = answer;
@@ -431,7 +432,7 @@
                 ))
             }
             WaitResult::CallerLeft => return AttemptResult::CallerLeft,
-            WaitResult::Late => return AttemptResult::Late,
+            WaitResult::DeadlinePassed => return AttemptResult::DeadlinePassed,
             WaitResult::GivenUp => {
                 return AttemptResult::Failed(silent_failure(AttemptStage::MaybeSent))
             }
@@ -440,14 +441,14 @@
         if let Some(keep_alive) = exchange::keep_alive(&head) {
             self.node.pool.give(target.endpoint, connection, keep_alive);
         }
-        if head.status.is_success() && !said.signed {
+        if head.status.is_success() && !decoded.signed {
             return AttemptResult::Failed(Failure::blamed(
                 AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
         }
-        let again = self.out.repeatable && head.status.is_server_error();
-        if again || self.reply_start.is_none() {
+        let retryable = self.out.repeatable && head.status.is_server_error();
+        if retryable || self.reply_start.is_none() {
             let detail = format!("answered {}", head.status.as_u16());
             self.error_answer = Some((head, bytes));
             return AttemptResult::Failed(Failure::blamed(self.stage(), detail));
@@ -464,11 +465,11 @@
     async fn relay_events(&mut self, target: &Target, answer: Answer) -> AttemptResult {
         let Answer {
             head,
-            said,
+            said: decoded,
             mut body,
             connection,
         } = answer;
-        if !said.signed {
+        if !decoded.signed {
             return AttemptResult::Failed(Failure::blamed(
                 AttemptStage::MaybeSent,
                 "the answer is not signed",
@@ -481,7 +482,7 @@
             let frame = match self.wait(body.frame()).await {
                 WaitResult::Value(frame) => frame,
                 WaitResult::CallerLeft => return AttemptResult::CallerLeft,
-                WaitResult::Late => return AttemptResult::Late,
+                WaitResult::DeadlinePassed => return AttemptResult::DeadlinePassed,
                 WaitResult::GivenUp => return AttemptResult::Failed(silent_failure(self.stage())),
             };
             match frame {
@@ -522,7 +523,7 @@
     ) -> Option<AttemptResult> {
         let events = splitter.push(data);
         if splitter.overlong() {
-            let detail = "an event without an end";
+            let detail = "an event exceeds the size limit";
             return Some(AttemptResult::Failed(Failure::blamed(self.stage(), detail)));
         }
         if events.is_empty() {
@@ -544,7 +545,7 @@
             match timeout(self.time_left(), sent).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) => return Some(AttemptResult::CallerLeft),
-                Err(_) => return Some(AttemptResult::Late),
+                Err(_) => return Some(AttemptResult::DeadlinePassed),
             }
         }
         let failure = |detail| Failure::blamed(self.stage(), detail);
@@ -587,7 +588,7 @@
     }
 
     /// Sends the final reply, or aborts a reply that has begun.
-    async fn refuse(&mut self, kind: RefusalKind, not_run: bool, after: Option<Duration>) {
+    async fn refuse(&mut self, kind: RefusalKind, not_run: bool, retry_after: Option<Duration>) {
         let name: &'static str = kind.into();
         self.log("refused", name);
         self.node.counters.refused.with_label_values(&[name]).inc();
@@ -605,7 +606,7 @@
                 parts.headers = exchange::end_to_end(&parts.headers);
                 ReplyStart::Relayed(parts, Some(bytes))
             }
-            None => ReplyStart::Local(replies::refusal(kind, not_run, after)),
+            None => ReplyStart::Local(replies::refusal(kind, not_run, retry_after)),
         };
         let _ = head.send(reply);
     }
@@ -628,8 +629,8 @@
     }
 
     /// Milliseconds from the arrival to `time`; 0 if it is `None`.
-    fn ms_after_arrival(&self, moment: Option<Duration>) -> u64 {
-        moment.map_or(0, |at| {
+    fn ms_after_arrival(&self, time: Option<Duration>) -> u64 {
+        time.map_or(0, |at| {
             at.saturating_sub(self.arrived_at).as_millis() as u64
         })
     }
@@ -664,9 +665,9 @@
     }
 }
 
-fn silent_failure(reach: AttemptStage) -> Failure {
+fn silent_failure(stage: AttemptStage) -> Failure {
     // The scheduler detected the silence and has counted it against the endpoint.
-    Failure::unblamed(reach, "the endpoint went silent")
+    Failure::unblamed(stage, "the endpoint went silent")
 }
 
 fn is_events(headers: &HeaderMap) -> bool {
--- a/src/serve/pool.rs
+++ b/src/serve/pool.rs
@@ -70,7 +70,7 @@
         let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
         let stream = match connect {
             Ok(stream) => stream.map_err(connect_error)?,
-            Err(_) => return Err(not_sent("the connection did not open in time".into())),
+            Err(_) => return Err(not_sent("the connection was not opened in time".into())),
         };
         let nodelay = stream.set_nodelay(true);
         nodelay.map_err(|error| not_sent(error.to_string()))?;
@@ -150,11 +150,11 @@
     /// Takes the most recently used idle connection to an endpoint.
     pub fn take(&self, endpoint: EndpointId) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        let rows = idle.get_mut(&endpoint)?;
+        let connections = idle.get_mut(&endpoint)?;
         let now = clock::now();
-        while let Some(row) = rows.pop() {
-            if now < row.until && row.connection.usable() {
-                return Some(row.connection);
+        while let Some(entry) = connections.pop() {
+            if now < entry.until && entry.connection.usable() {
+                return Some(entry.connection);
             }
         }
         None
@@ -163,14 +163,14 @@
     /// Keeps a connection whose answer was read to its end. `keep_alive` is the endpoint's idle
     /// timeout.
     pub fn give(&self, endpoint: EndpointId, connection: Connection, keep_alive: Option<Duration>) {
-        let life = keep_alive.map_or(IDLE_TIMEOUT_DEFAULT, |life| {
-            life.mul_f64(IDLE_TIMEOUT_SHARE)
+        let lifetime = keep_alive.map_or(IDLE_TIMEOUT_DEFAULT, |timeout| {
+            timeout.mul_f64(IDLE_TIMEOUT_SHARE)
         });
         let mut idle = self.idle.borrow_mut();
-        let rows = idle.entry(endpoint).or_default();
-        if rows.len() < IDLE_CONNECTIONS_MAX {
-            let until = clock::now() + life;
-            rows.push(Idle { connection, until });
+        let connections = idle.entry(endpoint).or_default();
+        if connections.len() < IDLE_CONNECTIONS_MAX {
+            let until = clock::now() + lifetime;
+            connections.push(Idle { connection, until });
         }
     }
 
@@ -182,9 +182,9 @@
     /// Closes connections that have been idle too long or that the endpoint closed.
     pub fn tick(&self, now: Duration) {
         let mut idle = self.idle.borrow_mut();
-        for rows in idle.values_mut() {
-            rows.retain(|row| now < row.until && !row.connection.sender.is_closed());
+        for connections in idle.values_mut() {
+            connections.retain(|entry| now < entry.until && !entry.connection.sender.is_closed());
         }
-        idle.retain(|_, rows| !rows.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 }
--- a/src/serve/registration.rs
+++ b/src/serve/registration.rs
@@ -34,11 +34,11 @@
     let mut lease = 0;
     loop {
         let sent_at = clock::now();
-        let kept = match lease {
+        let renewed = match lease {
             0 => Err(Error::NoLease),
             lease => node.store.call(Call::Renew(lease)).await.map(|_| lease),
         };
-        let outcome = match kept {
+        let outcome = match renewed {
             Err(Error::NoLease) => write_registration(&node, &key, &value).await,
             other => other,
         };
@@ -68,8 +68,8 @@
     };
     let mut written = write_entry(node, key, value, lease, 0).await?;
     if written.is_none() {
-        let standing = node.store.get(key).await?;
-        let expect = standing.map_or(0, |item| item.revision);
+        let existing = node.store.get(key).await?;
+        let expect = existing.map_or(0, |item| item.revision);
         written = write_entry(node, key, value, lease, expect).await?;
     }
     match written {
@@ -89,11 +89,11 @@
     lease: u64,
     expect: id::Revision,
 ) -> Result<Option<id::Revision>, Error> {
-    let mut own = write(key.to_owned(), value.clone());
-    own.lease = lease;
+    let mut entry = write(key.to_owned(), value.clone());
+    entry.lease = lease;
     let txn = Txn {
         expect: vec![(key.to_owned(), expect)],
-        writes: vec![own],
+        writes: vec![entry],
         deletes: Vec::new(),
     };
     node.store.try_commit(txn).await
--- a/src/serve/replies.rs
+++ b/src/serve/replies.rs
@@ -15,7 +15,7 @@
 
 /// A refusal. A status that promises "not run" (503) is used only where that is true; `retry_after`
 /// is when the caller should retry.
-pub fn refusal(kind: RefusalKind, not_run: bool, after: Option<Duration>) -> Reply {
+pub fn refusal(kind: RefusalKind, not_run: bool, retry_after: Option<Duration>) -> Reply {
     let status = match (kind.status(), not_run) {
         // Nothing ran, and the same request may succeed later.
         (502 | 504, true) => 503,
@@ -30,8 +30,8 @@
     let body = serde_json::json!({ "error": name, "message": message, "not_run": not_run });
     let mut reply = json(status, Bytes::from(body.to_string()));
     let promises = matches!(status, 429 | 503);
-    if let Some(after) = after.filter(|_| promises) {
-        let seconds = format!("{:.3}", after.as_secs_f64());
+    if let Some(retry_after) = retry_after.filter(|_| promises) {
+        let seconds = format!("{:.3}", retry_after.as_secs_f64());
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             reply.headers_mut().insert(RETRY_AFTER, value);
         }
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -63,9 +63,9 @@
     log::info!(requests = node.open_requests.get(); "stop: draining");
     node.plan_items.notify_one();
     node.tell_peers.notify_one();
-    let drain = Duration::from_millis(node.settings.drain_ms);
+    let drain_time = Duration::from_millis(node.settings.drain_ms);
     let limit = Duration::from_millis(node.settings.stop_limit_ms).saturating_sub(EXIT_TIME);
-    sleep(drain.min(limit)).await;
+    sleep(drain_time.min(limit)).await;
     // From here on a request could not be finished before the process ends: callers that still
     // connect are refused before they have sent anything, and use another VM.
     node.listening.set(false);
--- a/src/serve/stopping.rs
+++ b/src/serve/stopping.rs
@@ -14,7 +14,7 @@
 /// Results that have arrived by then still count. Otherwise, when an endpoint answers that an item
 /// can never succeed and the run is preempted while the answer is still in the socket, the item
 /// would be sent again and again for the same answer.
-pub async fn unless_stopped<T>(what: impl Future<Output = T>, stop: &Notify) -> Option<T> {
+pub async fn unless_stopped<T>(future: impl Future<Output = T>, stop: &Notify) -> Option<T> {
     let stopped = async {
         stop.notified().await;
         for _ in 0..YIELDS {
@@ -23,7 +23,7 @@
     };
     tokio::select! {
         biased;
-        value = what => Some(value),
+        value = future => Some(value),
         () = stopped => None,
     }
 }
--- a/src/serve/summary.rs
+++ b/src/serve/summary.rs
@@ -24,7 +24,7 @@
         let since: Vec<u64> = calls
             .iter()
             .zip(last)
-            .map(|(now, then)| now - then)
+            .map(|(now, before)| now - before)
             .collect();
         last = calls;
         log_summary(&node, &since);
@@ -47,7 +47,7 @@
     let rows = &core.online.endpoints.rows;
     log::info!(
         requests = node.open_requests.get(),
-        queued = core.online.waiting(now).iter().map(|lane| lane.queued).sum::<usize>(),
+        queued = core.online.waiting(now).iter().map(|service| service.queued).sum::<usize>(),
         items,
         items_running,
         idle_turn_ms = core.items.idle.lost(IdleReason::Turn).as_millis() as u64,
