--- a/src/serve/admit.rs
+++ b/src/serve/admit.rs
@@ -117,8 +117,9 @@
     }
 }
 
-/// Raises the limit by half of the overage that operators allow. The other half is left for jobs
-/// that other VMs admit at the same time and have not reported yet.
+/// Raises the limit by half of the overage that operators allow for a while. This half covers jobs
+/// that several VMs admit at the same time; the other half is left for jobs that have not been
+/// reported yet.
 fn with_overage(limit_tokens: u64, overage: f64) -> u64 {
     (limit_tokens as f64 * (1.0 + overage / 2.0)) as u64
 }
--- a/src/serve/events.rs
+++ b/src/serve/events.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct Splitter {
     buffer: BytesMut,
-    /// Bytes of `rest` that have been searched for the end of the event.
+    /// Bytes of `buffer` that have been searched for the end of the event.
     searched: usize,
 }
 
