--- a/src/serve/registration.rs
+++ b/src/serve/registration.rs
@@ -13,13 +13,13 @@
 use crate::id;
 use crate::store::{Call, Error, Reply, Txn};
 
-/// Life of a registration. Its lapse is what lets other VMs take over, so it is short beside the
+/// Lease of a registration. Other VMs take over when it expires, so it is short compared with the
 /// time that a batch job has; three renewals fit into it.
-const LEASE: Duration = Duration::from_secs(3);
-/// Time between two renewals.
-const RENEW: Duration = Duration::from_millis(900);
+const LEASE_TTL: Duration = Duration::from_secs(3);
+/// Interval between renewals.
+const RENEW_INTERVAL: Duration = Duration::from_millis(900);
 
-/// Keeps this VM registered under a lease until the process drains.
+/// Keeps this VM registered under a lease for as long as the process runs.
 pub async fn register(node: Rc<Node>) {
     let key = format!("{VMS}{}", node.settings.name);
     let record = VmRecord {
@@ -34,12 +34,12 @@
     let mut lease = 0;
     loop {
         let sent_at = clock::now();
-        let kept = match lease {
+        let renewed = match lease {
             0 => Err(Error::NoLease),
             lease => node.store.call(Call::Renew(lease)).await.map(|_| lease),
         };
-        let outcome = match kept {
-            Err(Error::NoLease) => enter(&node, &key, &value).await,
+        let outcome = match renewed {
+            Err(Error::NoLease) => write_registration(&node, &key, &value).await,
             other => other,
         };
         match outcome {
@@ -52,20 +52,24 @@
                 log::info!(error:% = error; "the registration could not be renewed");
             }
         }
-        sleep(RENEW).await;
+        sleep(RENEW_INTERVAL).await;
     }
 }
 
-/// Writes the registration under a new lease. An entry of an earlier start, which is there for as long as its
-/// lease, is read only when it is in the way.
-async fn enter(node: &Node, key: &str, value: &bytes::Bytes) -> Result<id::Revision, Error> {
-    let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: LEASE }).await? else {
+/// Writes the registration under a new lease. An entry of an earlier start, which remains until its
+/// lease expires, is read only if it prevents the write.
+async fn write_registration(
+    node: &Node,
+    key: &str,
+    value: &bytes::Bytes,
+) -> Result<id::Revision, Error> {
+    let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: LEASE_TTL }).await? else {
         return Err(Error::NoLease);
     };
     let mut written = write_entry(node, key, value, lease, 0).await?;
     if written.is_none() {
-        let standing = node.store.get(key).await?;
-        let expect = standing.map_or(0, |item| item.revision);
+        let existing = node.store.get(key).await?;
+        let expect = existing.map_or(0, |item| item.revision);
         written = write_entry(node, key, value, lease, expect).await?;
     }
     match written {
@@ -73,7 +77,7 @@
             log::info!(lease, revision; "registered");
             Ok(lease)
         }
-        // The entry of an earlier start lapsed meanwhile; the next try finds none.
+        // The entry of an earlier start expired meanwhile; the next attempt finds none.
         None => Err(Error::NoLease),
     }
 }
@@ -85,11 +89,11 @@
     lease: u64,
     expect: id::Revision,
 ) -> Result<Option<id::Revision>, Error> {
-    let mut own = write(key.to_owned(), value.clone());
-    own.lease = lease;
+    let mut entry = write(key.to_owned(), value.clone());
+    entry.lease = lease;
     let txn = Txn {
         expect: vec![(key.to_owned(), expect)],
-        writes: vec![own],
+        writes: vec![entry],
         deletes: Vec::new(),
     };
     node.store.try_commit(txn).await
