--- a/src/decide/commit.rs
+++ b/src/decide/commit.rs
@@ -37,8 +37,8 @@
     expect: Revision,
     step: Step,
     /// An earlier attempt may have taken effect.
-    doubt: bool,
-    tries: u32,
+    maybe_written: bool,
+    attempts: u32,
 }
 
 impl Commit {
@@ -47,8 +47,8 @@
         Commit {
             expect,
             step: Step::Write,
-            doubt: false,
-            tries: 0,
+            maybe_written: false,
+            attempts: 0,
         }
     }
 
@@ -64,14 +64,14 @@
 
     /// Handles the outcome of a write.
     pub fn written(&mut self, answer: Answer) -> Step {
-        self.tries += 1;
+        self.attempts += 1;
         self.step = match answer {
             Answer::Won(revision) => Step::Won(revision),
             Answer::Lost => Step::Read,
-            Answer::Away if self.doubt => Step::Read,
+            Answer::Away if self.maybe_written => Step::Read,
             Answer::Away => Step::Away,
             Answer::Unknown => {
-                self.doubt = true;
+                self.maybe_written = true;
                 Step::Read
             }
         };
@@ -81,7 +81,7 @@
     /// Handles the result of a read: `None` if it failed, otherwise the record's revision and
     /// whether it holds the writer's own bytes.
     pub fn read(&mut self, seen: Option<Option<(Revision, bool)>>) -> Step {
-        self.tries += 1;
+        self.attempts += 1;
         self.step = match seen {
             None => Step::Read,
             Some(Some((revision, true))) => Step::Won(revision),
@@ -99,6 +99,6 @@
 
     /// Delay before the next step: none at first, then longer with each attempt.
     pub fn pause(&self, unit: Duration) -> Duration {
-        unit * self.tries.saturating_sub(1).min(10)
+        unit * self.attempts.saturating_sub(1).min(10)
     }
 }
--- a/src/decide/discovery.rs
+++ b/src/decide/discovery.rs
@@ -13,10 +13,10 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-use self::ended::Ended;
+use self::ended::EndedEndpoints;
 pub use self::entry::{KnownEntry, Registration, SnapshotSource};
 use self::outage::Outage;
-pub use self::outage::{CUT_OFF_AFTER, OUTAGE_MEMORY, OUTAGE_MIN};
+pub use self::outage::{CUT_OFF_AFTER, OUTAGE_LAPSE_WINDOW, OUTAGE_MIN};
 pub use self::transition::{Transition, TransitionEvent};
 use super::endpoints::EndpointConfig;
 use crate::id::{EndpointId, EntryId, Name, Revision};
@@ -26,48 +26,48 @@
 pub const RETURN_GRACE: Duration = Duration::from_millis(2300);
 /// Maximum number of transitions kept until they are taken for the log; more than there are
 /// endpoints.
-const NEWS_MAX: usize = 4096;
+const TRANSITIONS_MAX: usize = 4096;
 
 /// One endpoint.
 #[derive(Debug, Clone)]
-struct Row {
+struct EntryRow {
     entry: Registration,
     revision: Revision,
     /// Set if the entry was removed: until then it may come back, and the endpoint stays in use.
-    gone_until: Option<Duration>,
+    kept_until: Option<Duration>,
 }
 
 /// The registered endpoints.
 #[derive(Debug, Default)]
 pub struct Discovery {
-    rows: HashMap<EntryId, Row>,
-    ended: Ended,
+    rows: HashMap<EntryId, EntryRow>,
+    ended: EndedEndpoints,
     outage: Outage,
     /// Revision of the newest change applied.
     pub revision: Revision,
     /// Revision of the newest complete snapshot: an entry that is neither in it nor newer is gone.
-    whole_at: Revision,
+    snapshot_revision: Revision,
     /// Whether a complete snapshot was applied at least once.
-    read: bool,
+    loaded: bool,
     /// Transitions that were not yet taken for the log.
-    news: Vec<TransitionEvent>,
+    transitions: Vec<TransitionEvent>,
 }
 
 impl Discovery {
     /// Records that a store call sent at `since` has failed. `others_served` if the store has been
     /// serving another VM for [`CUT_OFF_AFTER`].
     pub fn store_failed(&mut self, now: Duration, since: Duration, others_served: bool) {
-        self.outage.failed(now, since, others_served);
+        self.outage.record_failure(now, since, others_served);
     }
 
     /// Records that the store answered a call.
     pub fn store_answered(&mut self, now: Duration) {
-        self.outage.answered(now);
+        self.outage.record_answer(now);
     }
 
     /// How long ago a store call last failed.
     pub fn store_failed_for(&self, now: Duration) -> Option<Duration> {
-        self.outage.failed_for(now)
+        self.outage.time_since_failure(now)
     }
 
     /// Applies a written entry; true if the set of usable endpoints changed.
@@ -79,37 +79,37 @@
         revision: Revision,
     ) -> bool {
         self.revision = self.revision.max(revision);
-        if self.is_old(id, revision) || self.is_late(id, &entry) {
+        if self.is_outdated(id, revision) || self.is_over(id, &entry) {
             return false;
         }
-        if entry.incarnation.is_none() && self.tells_starts(id) {
+        if entry.incarnation.is_none() && self.reports_incarnation(id) {
             // An endpoint that reports its incarnation always does; this entry was written by
             // another process.
             return self.apply_unusable(now, id, revision);
         }
         let transition = match self.rows.get(&id).map(|row| &row.entry) {
             Some(known) if known.incarnation == entry.incarnation => {
-                return self.rewritten(id, entry, revision);
+                return self.update_entry(id, entry, revision);
             }
             Some(known) => {
                 let known = known.clone();
-                self.note_past(now, id, &known);
+                self.record_past_process(now, id, &known);
                 Transition::Restarted
             }
             None => Transition::Appeared,
         };
-        self.note(entry.name.clone(), transition, revision);
-        let row = Row {
+        self.record_transition(entry.name.clone(), transition, revision);
+        let row = EntryRow {
             entry,
             revision,
-            gone_until: None,
+            kept_until: None,
         };
         self.rows.insert(id, row);
         true
     }
 
     /// Applies a newer entry of a known process.
-    fn rewritten(&mut self, id: EntryId, entry: Registration, revision: Revision) -> bool {
+    fn update_entry(&mut self, id: EntryId, entry: Registration, revision: Revision) -> bool {
         let Some(row) = self.rows.get_mut(&id) else {
             return false;
         };
@@ -120,9 +120,9 @@
         let name = entry.name.clone();
         row.entry = entry;
         row.revision = revision;
-        row.gone_until = None;
+        row.kept_until = None;
         if let Some(transition) = transition {
-            self.note(name, transition, revision);
+            self.record_transition(name, transition, revision);
         }
         transition.is_some()
     }
@@ -132,7 +132,7 @@
     /// endpoint is not kept.
     pub fn apply_unusable(&mut self, now: Duration, id: EntryId, revision: Revision) -> bool {
         self.revision = self.revision.max(revision);
-        if self.is_old(id, revision) {
+        if self.is_outdated(id, revision) {
             return false;
         }
         self.drop_row(now, id, revision, Transition::Unusable)
@@ -147,18 +147,21 @@
     pub fn apply_removal(&mut self, now: Duration, id: EntryId, revision: Revision) -> bool {
         self.revision = self.revision.max(revision);
         let Some(row) = self.rows.get_mut(&id) else {
-            self.ended.note(now, id, revision);
+            self.ended.record_end(now, id, revision);
             return false;
         };
-        if revision < row.revision || row.gone_until.is_some() {
+        if revision < row.revision || row.kept_until.is_some() {
             return false;
         }
         row.revision = revision;
-        let returned_at = self.outage.returned(now).filter(|_| !row.entry.draining);
+        let returned_at = self
+            .outage
+            .recovery_time(now)
+            .filter(|_| !row.entry.draining);
         if let Some(returned_at) = returned_at {
-            row.gone_until = Some(returned_at + RETURN_GRACE);
+            row.kept_until = Some(returned_at + RETURN_GRACE);
             let name = row.entry.name.clone();
-            self.note(name, Transition::Kept, revision);
+            self.record_transition(name, Transition::Kept, revision);
             return false;
         }
         self.drop_row(now, id, revision, Transition::Removed)
@@ -169,15 +172,15 @@
     /// Without the comparison with the newest complete snapshot, a late update about a process that
     /// this VM has never seen and that has ended meanwhile would send requests to an address where
     /// nothing serves: the snapshot did not list it.
-    fn is_old(&self, id: EntryId, revision: Revision) -> bool {
+    fn is_outdated(&self, id: EntryId, revision: Revision) -> bool {
         let row = self.rows.get(&id);
         let known = row.is_some_and(|row| revision < row.revision);
-        known || revision <= self.whole_at || self.ended.is_old(id, revision)
+        known || revision <= self.snapshot_revision || self.ended.is_outdated(id, revision)
     }
 
     /// Whether an entry is a late update about a process that is over. A draining endpoint never
     /// accepts requests again, and neither do the processes before it.
-    fn is_late(&self, id: EntryId, entry: &Registration) -> bool {
+    fn is_over(&self, id: EntryId, entry: &Registration) -> bool {
         let row = self.rows.get(&id);
         let drains = row.is_some_and(|row| row.entry.draining);
         let replaced = drains && self.ended.was_replaced(id, entry.incarnation);
@@ -185,17 +188,17 @@
     }
 
     /// Records that a process is no longer the one registered under its name.
-    fn note_past(&mut self, now: Duration, id: EntryId, entry: &Registration) {
+    fn record_past_process(&mut self, now: Duration, id: EntryId, entry: &Registration) {
         match entry.draining {
-            true => self.ended.note_drained(now, id, entry.incarnation),
-            false => self.ended.note_replaced(now, id, entry.incarnation),
+            true => self.ended.record_drained(now, id, entry.incarnation),
+            false => self.ended.record_replaced(now, id, entry.incarnation),
         }
     }
 
     /// Whether the processes of an endpoint report their starts.
-    fn tells_starts(&self, id: EntryId) -> bool {
+    fn reports_incarnation(&self, id: EntryId) -> bool {
         let row = self.rows.get(&id);
-        row.is_some_and(|row| row.entry.incarnation.is_some()) || self.ended.tells_starts(id)
+        row.is_some_and(|row| row.entry.incarnation.is_some()) || self.ended.reports_incarnation(id)
     }
 
     /// Removes an endpoint without keeping it.
@@ -207,20 +210,20 @@
         transition: Transition,
     ) -> bool {
         self.revision = self.revision.max(revision);
-        self.ended.note(now, id, revision);
+        self.ended.record_end(now, id, revision);
         let Some(row) = self.rows.remove(&id) else {
             return false;
         };
         if row.entry.draining {
-            self.note_past(now, id, &row.entry);
+            self.record_past_process(now, id, &row.entry);
         }
-        self.note(row.entry.name, transition, revision);
+        self.record_transition(row.entry.name, transition, revision);
         true
     }
 
-    fn note(&mut self, name: Name, transition: Transition, revision: Revision) {
-        if self.news.len() < NEWS_MAX {
-            self.news.push(TransitionEvent {
+    fn record_transition(&mut self, name: Name, transition: Transition, revision: Revision) {
+        if self.transitions.len() < TRANSITIONS_MAX {
+            self.transitions.push(TransitionEvent {
                 name,
                 transition,
                 revision,
@@ -230,12 +233,12 @@
 
     /// Takes the transitions recorded since the last call.
     pub fn take_transitions(&mut self) -> Vec<TransitionEvent> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.transitions)
     }
 
     /// Number of endpoints that are used although their entries are gone.
     pub fn kept_count(&self) -> usize {
-        let kept = self.rows.values().filter(|row| row.gone_until.is_some());
+        let kept = self.rows.values().filter(|row| row.kept_until.is_some());
         kept.count()
     }
 
@@ -266,15 +269,15 @@
             };
         }
         for known in entries {
-            changed |= self.told(now, known);
+            changed |= self.apply_snapshot_entry(now, known);
         }
-        self.whole_at = self.whole_at.max(at);
-        self.read = true;
+        self.snapshot_revision = self.snapshot_revision.max(at);
+        self.loaded = true;
         changed
     }
 
     /// Applies one endpoint of a complete snapshot.
-    fn told(&mut self, now: Duration, known: KnownEntry) -> bool {
+    fn apply_snapshot_entry(&mut self, now: Duration, known: KnownEntry) -> bool {
         let Some(left) = known.lapsing else {
             return self.apply_entry(now, known.id, known.entry, known.revision);
         };
@@ -288,22 +291,22 @@
             // The other VM has seen another process under this name, of which only a lapsed entry
             // is left.
             let past = row.entry.clone();
-            self.note_past(now, known.id, &past);
+            self.record_past_process(now, known.id, &past);
             return self.drop_row(now, known.id, known.revision, Transition::Removed);
         }
         let until = now + left.min(RETURN_GRACE);
-        let first = row.gone_until.is_none();
-        row.gone_until = Some(row.gone_until.map_or(until, |own| own.min(until)));
+        let first = row.kept_until.is_none();
+        row.kept_until = Some(row.kept_until.map_or(until, |own| own.min(until)));
         row.revision = known.revision;
         if first {
-            self.note(known.entry.name, Transition::Kept, known.revision);
+            self.record_transition(known.entry.name, Transition::Kept, known.revision);
         }
         false
     }
 
     /// Drops entries that have not come back in time; true if any was dropped.
     pub fn tick(&mut self, now: Duration) -> bool {
-        let over = |row: &Row| row.gone_until.is_some_and(|until| now >= until);
+        let over = |row: &EntryRow| row.kept_until.is_some_and(|until| now >= until);
         let rows = self.rows.iter().filter(|(_, row)| over(row));
         let lapsed: Vec<(EntryId, Revision)> = rows.map(|(id, row)| (*id, row.revision)).collect();
         for (id, revision) in &lapsed {
@@ -315,7 +318,7 @@
 
     /// Whether the endpoints have been loaded.
     pub fn is_loaded(&self) -> bool {
-        self.read
+        self.loaded
     }
 
     /// Configuration of each endpoint for the endpoint table, and whether it is draining.
@@ -329,23 +332,23 @@
 
     /// All known endpoints, for another VM that can't reach the store.
     pub fn export(&self, now: Duration) -> Vec<KnownEntry> {
-        let known = |(id, row): (&EntryId, &Row)| KnownEntry {
+        let known = |(id, row): (&EntryId, &EntryRow)| KnownEntry {
             id: *id,
             entry: row.entry.clone(),
             revision: row.revision,
-            lapsing: row.gone_until.map(|until| until.saturating_sub(now)),
+            lapsing: row.kept_until.map(|until| until.saturating_sub(now)),
         };
         self.rows.iter().map(known).collect()
     }
 }
 
-impl Row {
+impl EntryRow {
     /// The transition that a newer entry causes; `None` if it changes nothing.
     fn transition_to(&self, entry: &Registration) -> Option<Transition> {
         if entry.draining && !self.entry.draining {
             return Some(Transition::Draining);
         }
-        if self.gone_until.is_some() {
+        if self.kept_until.is_some() {
             return Some(Transition::Returned);
         }
         (self.entry != *entry).then_some(Transition::Changed)
--- a/src/decide/discovery/ended.rs
+++ b/src/decide/discovery/ended.rs
@@ -7,24 +7,24 @@
 
 /// How long ends are remembered: longer than any update takes between VMs, and longer than a VM
 /// stays cut off from the store.
-const MEMORY: Duration = Duration::from_secs(600);
+const END_RETENTION: Duration = Duration::from_secs(600);
 /// Processes remembered for each name, the latest last. A late update arrives within seconds, and
 /// no endpoint restarts more often than this in that time.
-const PAST_MAX: usize = 8;
+const PAST_PROCESSES_MAX: usize = 8;
 
 /// What is remembered under one name.
 #[derive(Debug, Clone, Default)]
-struct Row {
+struct EndedRow {
     /// Revision of the newest end; an update that is not newer is ignored.
     revision: Revision,
-    at: Duration,
+    updated_at: Duration,
     /// Processes that were replaced by another one, and those that drained.
-    past: Vec<Past>,
+    past: Vec<PastProcess>,
 }
 
 /// A process that was registered under a name.
 #[derive(Debug, Clone, Copy)]
-struct Past {
+struct PastProcess {
     process: Option<Incarnation>,
     /// It drained, or a later one did: it never accepts requests again.
     over: bool,
@@ -33,41 +33,41 @@
 /// Ends of endpoints with their revisions, so that an older update that arrives by another path
 /// does not undo them.
 #[derive(Debug, Default)]
-pub struct Ended {
-    rows: HashMap<EntryId, Row>,
+pub struct EndedEndpoints {
+    rows: HashMap<EntryId, EndedRow>,
 }
 
-impl Ended {
+impl EndedEndpoints {
     /// Records the removal of an entry at a revision.
-    pub fn note(&mut self, now: Duration, id: EntryId, revision: Revision) {
+    pub fn record_end(&mut self, now: Duration, id: EntryId, revision: Revision) {
         let row = self.rows.entry(id).or_default();
         row.revision = row.revision.max(revision);
-        row.at = now;
+        row.updated_at = now;
     }
 
     /// Records that another process was seen in place of this one. This one may be seen again, for
     /// example if the other entry was not written by the endpoint.
-    pub fn note_replaced(&mut self, now: Duration, id: EntryId, process: Option<Incarnation>) {
+    pub fn record_replaced(&mut self, now: Duration, id: EntryId, process: Option<Incarnation>) {
         let row = self.rows.entry(id).or_default();
-        row.at = now;
+        row.updated_at = now;
         row.past.retain(|past| past.process != process);
-        if row.past.len() >= PAST_MAX {
+        if row.past.len() >= PAST_PROCESSES_MAX {
             row.past.remove(0);
         }
         let over = false;
-        row.past.push(Past { process, over });
+        row.past.push(PastProcess { process, over });
     }
 
     /// Records that a process drained: it and all processes before it are over.
-    pub fn note_drained(&mut self, now: Duration, id: EntryId, process: Option<Incarnation>) {
-        self.note_replaced(now, id, process);
+    pub fn record_drained(&mut self, now: Duration, id: EntryId, process: Option<Incarnation>) {
+        self.record_replaced(now, id, process);
         let past = self.rows.get_mut(&id).into_iter();
         past.flat_map(|row| &mut row.past)
             .for_each(|past| past.over = true);
     }
 
     /// Whether an update of this revision is older than the end of its endpoint.
-    pub fn is_old(&self, id: EntryId, revision: Revision) -> bool {
+    pub fn is_outdated(&self, id: EntryId, revision: Revision) -> bool {
         let row = self.rows.get(&id);
         row.is_some_and(|row| revision <= row.revision)
     }
@@ -82,19 +82,20 @@
         self.past(id, process).is_some()
     }
 
-    fn past(&self, id: EntryId, process: Option<Incarnation>) -> Option<&Past> {
+    fn past(&self, id: EntryId, process: Option<Incarnation>) -> Option<&PastProcess> {
         let past = self.rows.get(&id)?.past.iter();
         past.rev().find(|past| past.process == process)
     }
 
     /// Whether any remembered process of this name has reported its start.
-    pub fn tells_starts(&self, id: EntryId) -> bool {
+    pub fn reports_incarnation(&self, id: EntryId) -> bool {
         let row = self.rows.get(&id);
         row.is_some_and(|row| row.past.iter().any(|past| past.process.is_some()))
     }
 
     /// Forgets expired ends.
     pub fn tick(&mut self, now: Duration) {
-        self.rows.retain(|_, row| now < row.at + MEMORY);
+        self.rows
+            .retain(|_, row| now < row.updated_at + END_RETENTION);
     }
 }
--- a/src/decide/discovery/outage.rs
+++ b/src/decide/discovery/outage.rs
@@ -10,7 +10,7 @@
 /// All VMs call the store about once a second, and it reports lapsed entries as soon as it answers
 /// again. Later removals are real, and an endpoint that leaves by one must be out of use within two
 /// seconds.
-pub const OUTAGE_MEMORY: Duration = Duration::from_secs(1);
+pub const OUTAGE_LAPSE_WINDOW: Duration = Duration::from_secs(1);
 
 /// If other VMs have been served for this long and no local call was answered in that time, the
 /// local VM is cut off. In an outage every VM's lease renewals fail within 2.1 s (0.9 s between
@@ -31,7 +31,7 @@
     failing_since: Option<Duration>,
     failed_at: Option<Duration>,
     /// When a call last failed as part of a confirmed outage.
-    proved_at: Option<Duration>,
+    confirmed_at: Option<Duration>,
     /// When the first call was answered after that; `None` until then.
     returned_at: Option<Duration>,
 }
@@ -39,35 +39,36 @@
 impl Outage {
     /// Records that a call sent at `since` has failed. `others_served` if the store has been
     /// serving another VM for [`CUT_OFF_AFTER`].
-    pub fn failed(&mut self, now: Duration, since: Duration, others_served: bool) {
+    pub fn record_failure(&mut self, now: Duration, since: Duration, others_served: bool) {
         // The store was available while it answered another call.
         let since = self.answered_at.map_or(since, |at| since.max(at));
         let earliest = self.failing_since.map_or(since, |known| known.min(since));
         self.failing_since = Some(earliest);
         self.failed_at = Some(now);
         if others_served && now >= earliest + CUT_OFF_AFTER {
-            self.proved_at = None;
+            self.confirmed_at = None;
         } else if now >= earliest + OUTAGE_MIN {
-            self.proved_at = Some(now);
+            self.confirmed_at = Some(now);
             self.returned_at = None;
         }
     }
 
     /// Records that a call was answered.
-    pub fn answered(&mut self, now: Duration) {
+    pub fn record_answer(&mut self, now: Duration) {
         self.answered_at = Some(now);
         self.failing_since = None;
         self.returned_at.get_or_insert(now);
     }
 
     /// When the store came back, if a removal that arrives now may be a lapse of its outage.
-    pub fn returned(&self, now: Duration) -> Option<Duration> {
-        self.proved_at.filter(|at| now < *at + OUTAGE_MEMORY)?;
+    pub fn recovery_time(&self, now: Duration) -> Option<Duration> {
+        self.confirmed_at
+            .filter(|at| now < *at + OUTAGE_LAPSE_WINDOW)?;
         Some(self.returned_at.unwrap_or(now))
     }
 
     /// How long ago a call last failed.
-    pub fn failed_for(&self, now: Duration) -> Option<Duration> {
+    pub fn time_since_failure(&self, now: Duration) -> Option<Duration> {
         self.failed_at.map(|at| now.saturating_sub(at))
     }
 }
--- a/src/decide/endpoints.rs
+++ b/src/decide/endpoints.rs
@@ -15,7 +15,7 @@
 /// Length of the longest ejection.
 pub const EJECT_MAX: Duration = Duration::from_secs(30);
 /// Time over which the limit grows back after an ejection.
-pub const RETURN_RAMP: Duration = Duration::from_secs(5);
+pub const RAMP_UP_TIME: Duration = Duration::from_secs(5);
 /// An endpoint this many times slower than the median of its service is ejected as slow.
 pub const SLOW_FACTOR: f64 = 4.0;
 /// Shorter times to first token never count as slow, in milliseconds.
@@ -38,12 +38,12 @@
 /// that it is free, a tenth of the time for which a request holds it. Simulation of 52 VMs and 60
 /// endpoints at full load: 0.885 of the online requests in time with one, 0.871 with none, 0.879
 /// with two.
-const AHEAD: f64 = 1.0;
+const QUEUED_AHEAD_MAX: f64 = 1.0;
 
 /// Number of free slots from which an endpoint in another failure domain is considered. At full
 /// load an engine of seven slots gets ten requests a second, so five in the time that its counts
 /// take to arrive.
-const SPARE_SLOTS: f64 = 3.0;
+const SPARE_SLOTS_MIN: f64 = 3.0;
 
 /// Configuration of one endpoint.
 #[derive(Debug, Clone, PartialEq)]
@@ -125,8 +125,8 @@
     pub fn slots(&self, now: Duration) -> f64 {
         let full = self.limit.slots();
         match self.returned_at {
-            Some(since) if now < since + RETURN_RAMP => {
-                let share = (now.saturating_sub(since)).as_secs_f64() / RETURN_RAMP.as_secs_f64();
+            Some(since) if now < since + RAMP_UP_TIME => {
+                let share = (now.saturating_sub(since)).as_secs_f64() / RAMP_UP_TIME.as_secs_f64();
                 (full * share).max(1.0)
             }
             _ => full,
@@ -142,7 +142,7 @@
     /// reported.
     pub fn has_room(&self, now: Duration) -> bool {
         let slots = (self.slots(now) - f64::from(self.kept)).max(1.0);
-        let left = slots + AHEAD - f64::from(self.online_elsewhere);
+        let left = slots + QUEUED_AHEAD_MAX - f64::from(self.online_elsewhere);
         let even = slots / f64::from(self.remote_vms + 1);
         f64::from(self.online_here) + 1.0 <= left.max(even)
     }
@@ -156,7 +156,7 @@
     /// Whether a slot is still free if others have taken one or two meanwhile: counts of endpoints
     /// in other failure domains arrive half a second late.
     pub fn has_spare_slots(&self, now: Duration) -> bool {
-        f64::from(self.online() + self.kept) + SPARE_SLOTS <= self.slots(now)
+        f64::from(self.online() + self.kept) + SPARE_SLOTS_MIN <= self.slots(now)
     }
 
     /// Online requests as a share of the slots.
--- a/src/decide/idle.rs
+++ b/src/decide/idle.rs
@@ -6,7 +6,7 @@
 use strum::IntoStaticStr;
 
 /// Longest counted interval between two plans, so that a pause of the process is not counted.
-const STEP_MAX: Duration = Duration::from_millis(200);
+const COUNTED_INTERVAL_MAX: Duration = Duration::from_millis(200);
 
 /// Why a VM leaves a slot free although items wait there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, IntoStaticStr, strum::EnumIter)]
@@ -35,19 +35,19 @@
 #[derive(Debug, Default, Clone)]
 pub struct Idle {
     lost: HashMap<IdleReason, Duration>,
-    beside: IdleSnapshot,
+    snapshot: IdleSnapshot,
     at: Duration,
 }
 
 impl Idle {
     /// Counts the time since the last plan by its snapshot, and stores the new snapshot.
     pub fn note(&mut self, now: Duration, beside: IdleSnapshot) {
-        let step = now.saturating_sub(self.at).min(STEP_MAX);
-        for (reason, slots) in reasons(self.beside) {
+        let step = now.saturating_sub(self.at).min(COUNTED_INTERVAL_MAX);
+        for (reason, slots) in reasons(self.snapshot) {
             *self.lost.entry(reason).or_default() += step * slots;
         }
         self.at = now;
-        self.beside = beside;
+        self.snapshot = beside;
     }
 
     /// Slot-time lost for a reason since the start.
--- a/src/decide/intents.rs
+++ b/src/decide/intents.rs
@@ -17,17 +17,17 @@
 /// Number of ranges; part of the storage format.
 pub const RANGES: u64 = 4;
 /// Shortest interval between two writes of one range.
-pub const GATHER: Duration = Duration::from_millis(50);
+pub const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(50);
 /// Maximum number of entries in one page.
-pub const PAGE_ENTRIES: usize = 256;
+pub const PAGE_ENTRIES_MAX: usize = 256;
 /// Maximum size of the recorded answers in one page, in bytes.
-pub const PAGE_BYTES: usize = 512 * 1024;
+pub const PAGE_BYTES_MAX: usize = 512 * 1024;
 /// Larger answers are not recorded; their keys are.
 pub const ANSWER_BYTES: usize = 64 * 1024;
 /// After this time without a result of the write, requests that want to begin are answered with
 /// [`IntentVerdict::Away`].
-pub const WRITE_PATIENCE: Duration = Duration::from_millis(1500);
-const PAUSE: Duration = Duration::from_millis(40);
+pub const WRITE_RESULT_TIMEOUT: Duration = Duration::from_millis(1500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Digest of the workspace, the service and the caller's idempotency key.
 pub type IntentKey = String;
@@ -109,21 +109,21 @@
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
+struct Waiter {
     ticket: WaiterId,
     key: IntentKey,
-    ask: IntentRequest,
+    request: IntentRequest,
     since: Duration,
     /// The waiter has already been told that the platform is unavailable.
     abandoned: bool,
 }
 
 #[derive(Debug)]
-struct Writing {
+struct PageWrite {
     page: IntentPage,
-    asks: Vec<Waiting>,
+    waiters: Vec<Waiter>,
     commit: Commit,
-    asked: bool,
+    in_flight: bool,
     not_before: Duration,
 }
 
@@ -136,9 +136,9 @@
     listing: bool,
     list_at: Duration,
     index: HashMap<IntentKey, IntentRecord>,
-    waiting: Vec<Waiting>,
-    writing: Option<Writing>,
-    wrote_at: Option<Duration>,
+    waiting: Vec<Waiter>,
+    writing: Option<PageWrite>,
+    last_write_at: Option<Duration>,
     nonce: Nonce,
 }
 
@@ -168,7 +168,7 @@
             index: HashMap::new(),
             waiting: Vec::new(),
             writing: None,
-            wrote_at: None,
+            last_write_at: None,
             nonce,
         }
     }
@@ -192,10 +192,10 @@
         ask: IntentRequest,
         out: &mut Vec<Action>,
     ) {
-        self.waiting.push(Waiting {
+        self.waiting.push(Waiter {
             ticket,
             key,
-            ask,
+            request: ask,
             since: now,
             abandoned: false,
         });
@@ -219,8 +219,8 @@
                 self.loaded = true;
             }
             None => {
-                self.list_at = now + PAUSE * 5;
-                self.tell_away(out);
+                self.list_at = now + RETRY_INTERVAL * 5;
+                self.reply_unavailable(out);
             }
         }
         self.tick(now, out);
@@ -229,10 +229,10 @@
     /// Handles the result of a write.
     pub fn written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
         if let Some(writing) = &mut self.writing {
-            writing.asked = false;
+            writing.in_flight = false;
             writing.commit.written(answer);
         }
-        self.settle(now, None, out);
+        self.finish_write(now, None, out);
         self.tick(now, out);
     }
 
@@ -251,10 +251,10 @@
             page.as_ref()
                 .map(|(revision, page)| (*revision, page.nonce == nonce))
         });
-        writing.asked = false;
+        writing.in_flight = false;
         writing.commit.read(seen);
         let standing = found.flatten().map(|(_, page)| page);
-        self.settle(now, standing, out);
+        self.finish_write(now, standing, out);
         self.tick(now, out);
     }
 
@@ -269,10 +269,12 @@
             }
             return;
         }
-        self.abandon_late(now, out);
-        self.answer_known(out);
+        self.abandon_overdue(now, out);
+        self.reply_from_index(out);
         if self.writing.is_none() && !self.waiting.is_empty() {
-            let due = self.wrote_at.is_none_or(|at| now >= at + GATHER);
+            let due = self
+                .last_write_at
+                .is_none_or(|at| now >= at + WRITE_INTERVAL_MIN);
             if due {
                 self.start_write(now);
             }
@@ -298,10 +300,10 @@
     }
 
     /// Answers requests whose verdict is already in the log.
-    fn answer_known(&mut self, out: &mut Vec<Action>) {
+    fn reply_from_index(&mut self, out: &mut Vec<Action>) {
         let index = &self.index;
         self.waiting.retain(|waiting| {
-            let IntentRequest::Begin { content } = &waiting.ask else {
+            let IntentRequest::Begin { content } = &waiting.request else {
                 return true;
             };
             let verdict = match index.get(&waiting.key) {
@@ -328,7 +330,7 @@
         let mut later = Vec::new();
         let mut bytes = 0;
         for waiting in std::mem::take(&mut self.waiting) {
-            let mark = match &waiting.ask {
+            let mark = match &waiting.request {
                 IntentRequest::Begin { content } => IntentRecord::Begun {
                     content: content.clone(),
                 },
@@ -338,7 +340,10 @@
             let taken = entries.iter().any(|(key, _)| *key == waiting.key);
             // A second request for the same key waits for the next page, when the first one is
             // known.
-            if taken || entries.len() >= PAGE_ENTRIES || (bytes > PAGE_BYTES && !asks.is_empty()) {
+            if taken
+                || entries.len() >= PAGE_ENTRIES_MAX
+                || (bytes > PAGE_BYTES_MAX && !asks.is_empty())
+            {
                 later.push(waiting);
                 continue;
             }
@@ -353,11 +358,11 @@
             entries,
         };
         let commit = Commit::new(0);
-        self.writing = Some(Writing {
+        self.writing = Some(PageWrite {
             page,
-            asks,
+            waiters: asks,
             commit,
-            asked: false,
+            in_flight: false,
             not_before: now,
         });
     }
@@ -367,7 +372,7 @@
         let Some(writing) = &mut self.writing else {
             return;
         };
-        if writing.asked || now < writing.not_before {
+        if writing.in_flight || now < writing.not_before {
             return;
         }
         match writing.commit.step() {
@@ -378,23 +383,23 @@
             Step::Read => out.push(Action::Read { slot }),
             _ => return,
         }
-        writing.asked = true;
+        writing.in_flight = true;
     }
 
-    fn settle(&mut self, now: Duration, standing: Option<IntentPage>, out: &mut Vec<Action>) {
+    fn finish_write(&mut self, now: Duration, standing: Option<IntentPage>, out: &mut Vec<Action>) {
         let Some(mut writing) = self.writing.take() else {
             return;
         };
         match writing.commit.step() {
             Step::Write | Step::Read => {
-                writing.not_before = now + writing.commit.pause(PAUSE);
+                writing.not_before = now + writing.commit.pause(RETRY_INTERVAL);
                 self.writing = Some(writing);
             }
             Step::Won(_) => {
-                self.wrote_at = Some(now);
+                self.last_write_at = Some(now);
                 self.apply(self.next_slot, &writing.page);
-                for waiting in writing.asks {
-                    self.tell_written(now, waiting, out);
+                for waiting in writing.waiters {
+                    self.reply_written(now, waiting, out);
                 }
             }
             Step::Lost => {
@@ -402,36 +407,36 @@
                 if let Some(page) = standing {
                     self.apply(self.next_slot, &page);
                 }
-                self.take_back(writing.asks);
-                self.wrote_at = None;
+                self.requeue(writing.waiters);
+                self.last_write_at = None;
             }
             Step::Away => {
-                self.take_back(writing.asks);
-                self.wrote_at = Some(now + PAUSE * 5);
-                self.tell_away(out);
+                self.requeue(writing.waiters);
+                self.last_write_at = Some(now + RETRY_INTERVAL * 5);
+                self.reply_unavailable(out);
             }
         }
     }
 
     /// Puts the requests of a page that was not written back at the front of the queue.
-    fn take_back(&mut self, mut asks: Vec<Waiting>) {
+    fn requeue(&mut self, mut asks: Vec<Waiter>) {
         asks.retain(|waiting| !waiting.abandoned);
         asks.append(&mut self.waiting);
         self.waiting = asks;
     }
 
-    fn tell_written(&mut self, now: Duration, waiting: Waiting, out: &mut Vec<Action>) {
+    fn reply_written(&mut self, now: Duration, waiting: Waiter, out: &mut Vec<Action>) {
         if !waiting.abandoned {
             out.push(Action::Tell {
                 ticket: waiting.ticket,
                 verdict: IntentVerdict::Go,
             });
-        } else if matches!(waiting.ask, IntentRequest::Begin { .. }) {
+        } else if matches!(waiting.request, IntentRequest::Begin { .. }) {
             // The waiter was answered "not run" while the result of the write was unknown, and the
             // write took effect after all. Unless the key is released, it would stay "may have run"
             // for ever.
-            self.waiting.push(Waiting {
-                ask: IntentRequest::End(IntentRecord::Released),
+            self.waiting.push(Waiter {
+                request: IntentRequest::End(IntentRecord::Released),
                 since: now,
                 ..waiting
             });
@@ -439,9 +444,9 @@
     }
 
     /// Answers all requests that want to begin: nothing can be begun now.
-    fn tell_away(&mut self, out: &mut Vec<Action>) {
+    fn reply_unavailable(&mut self, out: &mut Vec<Action>) {
         self.waiting.retain(|waiting| {
-            let begin = matches!(waiting.ask, IntentRequest::Begin { .. });
+            let begin = matches!(waiting.request, IntentRequest::Begin { .. });
             if begin && !waiting.abandoned {
                 out.push(Action::Tell {
                     ticket: waiting.ticket,
@@ -453,11 +458,11 @@
     }
 
     /// Limits the wait for a write whose result is unknown: no byte was sent, so "not run" is true.
-    fn abandon_late(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let late = |since: Duration| now >= since + WRITE_PATIENCE;
+    fn abandon_overdue(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let late = |since: Duration| now >= since + WRITE_RESULT_TIMEOUT;
         if let Some(writing) = &mut self.writing {
-            for waiting in &mut writing.asks {
-                let begin = matches!(waiting.ask, IntentRequest::Begin { .. });
+            for waiting in &mut writing.waiters {
+                let begin = matches!(waiting.request, IntentRequest::Begin { .. });
                 if begin && !waiting.abandoned && late(waiting.since) {
                     waiting.abandoned = true;
                     out.push(Action::Tell {
@@ -468,7 +473,7 @@
             }
         }
         self.waiting.retain(|waiting| {
-            let begin = matches!(waiting.ask, IntentRequest::Begin { .. });
+            let begin = matches!(waiting.request, IntentRequest::Begin { .. });
             if begin && late(waiting.since) {
                 if !waiting.abandoned {
                     out.push(Action::Tell {
--- a/src/decide/limit.rs
+++ b/src/decide/limit.rs
@@ -6,7 +6,7 @@
 pub const LIMIT_MIN: f64 = 1.0;
 /// Upper limit for any endpoint.
 pub const LIMIT_MAX: f64 = 512.0;
-const DECREASE: f64 = 0.9;
+const DECREASE_FACTOR: f64 = 0.9;
 
 /// Additive increase, multiplicative decrease.
 ///
@@ -16,7 +16,7 @@
 pub struct Limit {
     slots: f64,
     /// No second decrease until the effect of the first one can have been observed.
-    hold_until: Duration,
+    no_decrease_until: Duration,
 }
 
 impl Limit {
@@ -24,7 +24,7 @@
     pub fn new(initial: f64) -> Limit {
         Limit {
             slots: initial.clamp(LIMIT_MIN, LIMIT_MAX),
-            hold_until: Duration::ZERO,
+            no_decrease_until: Duration::ZERO,
         }
     }
 
@@ -42,14 +42,14 @@
         in_flight: u32,
     ) {
         if first_token > goal {
-            if now >= self.hold_until {
-                self.slots = (self.slots * DECREASE).max(LIMIT_MIN);
-                self.hold_until = now + first_token;
+            if now >= self.no_decrease_until {
+                self.slots = (self.slots * DECREASE_FACTOR).max(LIMIT_MIN);
+                self.no_decrease_until = now + first_token;
             }
             return;
         }
         // Only a limit that is in use can be shown not to be too high.
-        if f64::from(in_flight) + 1.0 >= self.slots * DECREASE && first_token < goal / 2 {
+        if f64::from(in_flight) + 1.0 >= self.slots * DECREASE_FACTOR && first_token < goal / 2 {
             self.slots = (self.slots + 1.0 / self.slots).min(LIMIT_MAX);
         }
     }
--- a/src/decide/online.rs
+++ b/src/decide/online.rs
@@ -11,7 +11,7 @@
 
 use super::endpoints::Endpoints;
 use super::refusal::RefusalKind;
-use super::retry::{self, AttemptStage, Budget};
+use super::retry::{self, AttemptStage, RetryBudget};
 use super::routing::{self, NoEndpointReason, Policy, RouteQuery};
 use crate::id::{DomainId, EndpointId, RequestId, ServiceId, WorkspaceId};
 
@@ -123,12 +123,12 @@
 }
 
 #[derive(Debug, Clone)]
-struct Row {
+struct RequestRow {
     arrival: Arrival,
     arrived_at: Duration,
     sent_at: Duration,
     /// When this attempt was sent, or when data of its response was last received.
-    heard_at: Duration,
+    last_received_at: Duration,
     endpoint: Option<EndpointId>,
     attempts: u32,
     /// Attempts refused by the host of a dead endpoint; they do not count as attempts.
@@ -141,7 +141,7 @@
     given_up: bool,
 }
 
-impl Row {
+impl RequestRow {
     fn has_attempts_left(&self) -> bool {
         let turned_away = self.turned_away.min(TURNED_AWAY_MAX);
         self.attempts < self.arrival.attempts_max + turned_away
@@ -163,9 +163,9 @@
 }
 
 #[derive(Debug, Default, Clone)]
-struct Lane {
+struct ServiceState {
     in_flight: usize,
-    by_workspace: HashMap<WorkspaceId, usize>,
+    in_flight_by_workspace: HashMap<WorkspaceId, usize>,
     queues: HashMap<WorkspaceId, VecDeque<RequestId>>,
     queued: usize,
     /// Moving average of the time for which a request holds a slot, in seconds.
@@ -190,10 +190,10 @@
     /// Whether the host updates [`super::endpoints::Endpoint::last_received_at`] and can perform
     /// [`Action::GiveUp`].
     pub watch_silence: bool,
-    home: DomainId,
-    rows: HashMap<RequestId, Row>,
-    lanes: HashMap<ServiceId, Lane>,
-    budget: Budget,
+    local_domain: DomainId,
+    rows: HashMap<RequestId, RequestRow>,
+    service_states: HashMap<ServiceId, ServiceState>,
+    budget: RetryBudget,
     ticked_at: Duration,
     /// When this process last resumed after a pause of its own. Silence before that time is not
     /// evidence against an endpoint.
@@ -209,10 +209,10 @@
             services: HashMap::new(),
             policy: Policy::Affinity,
             watch_silence: false,
-            home,
+            local_domain: home,
             rows: HashMap::new(),
-            lanes: HashMap::new(),
-            budget: Budget::default(),
+            service_states: HashMap::new(),
+            budget: RetryBudget::default(),
             ticked_at: Duration::ZERO,
             awake_since: Duration::ZERO,
             rng,
@@ -231,7 +231,7 @@
     /// Records that data of a request's response was received.
     pub fn note_response(&mut self, now: Duration, request: RequestId) {
         if let Some(row) = self.rows.get_mut(&request) {
-            row.heard_at = now;
+            row.last_received_at = now;
         }
     }
 
@@ -246,7 +246,7 @@
             self.give_up_silent(now, out);
             self.give_up_unanswered(now, out);
         }
-        let services: Vec<ServiceId> = self.lanes.keys().copied().collect();
+        let services: Vec<ServiceId> = self.service_states.keys().copied().collect();
         for service in services {
             self.expire(now, service, out);
             self.drain(now, service, out);
@@ -260,21 +260,21 @@
 
     /// State of each service's queue.
     pub fn waiting(&self, now: Duration) -> Vec<ServiceQueue> {
-        let of = |(service, lane): (&ServiceId, &Lane)| ServiceQueue {
+        let of = |(service, lane): (&ServiceId, &ServiceState)| ServiceQueue {
             service: *service,
             in_flight: lane.in_flight,
             queued: lane.queued,
             expected_wait_ms: self.expected_wait(now, *service, lane.queued).as_millis() as u64,
         };
-        self.lanes.iter().map(of).collect()
+        self.service_states.iter().map(of).collect()
     }
 
     fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut Vec<Action>) {
         let request = arrival.request;
-        let row = Row {
+        let row = RequestRow {
             arrived_at: now,
             sent_at: now,
-            heard_at: now,
+            last_received_at: now,
             endpoint: None,
             attempts: 0,
             turned_away: 0,
@@ -288,7 +288,7 @@
             return;
         };
         let (queue_limit, max_in_flight) = (service.queue_limit, service.max_in_flight);
-        let lane = self.lanes.entry(row.arrival.service).or_default();
+        let lane = self.service_states.entry(row.arrival.service).or_default();
         let free = lane.queued == 0 && lane.in_flight < max_in_flight;
         if now >= row.arrival.deadline {
             out.push(refusal(request, RefusalKind::DeadlinePassed, true, None));
@@ -297,19 +297,19 @@
         let found = if free {
             self.route(now, &row)
         } else {
-            Err(NoEndpointReason::Full)
+            Err(NoEndpointReason::AllFull)
         };
         match found {
             Ok(endpoint) => self.send(now, row, endpoint, out),
-            Err(NoEndpointReason::Away) => {
+            Err(NoEndpointReason::NoneUsable) => {
                 let after = self.spread(RETRY_AFTER_MIN * 2);
                 out.push(refusal(request, RefusalKind::NoEndpoint, true, Some(after)));
             }
-            Err(NoEndpointReason::Full) => self.enqueue(now, row, queue_limit, out),
+            Err(NoEndpointReason::AllFull) => self.enqueue(now, row, queue_limit, out),
         }
     }
 
-    fn route(&mut self, now: Duration, row: &Row) -> Result<EndpointId, NoEndpointReason> {
+    fn route(&mut self, now: Duration, row: &RequestRow) -> Result<EndpointId, NoEndpointReason> {
         let ask = RouteQuery {
             service: row.arrival.service,
             prefix: row.arrival.prefix,
@@ -317,7 +317,7 @@
         };
         routing::choose(
             &self.endpoints,
-            self.home,
+            self.local_domain,
             ask,
             self.policy,
             now,
@@ -325,7 +325,7 @@
         )
     }
 
-    fn send(&mut self, now: Duration, mut row: Row, to: EndpointId, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Duration, mut row: RequestRow, to: EndpointId, out: &mut Vec<Action>) {
         let request = row.arrival.request;
         row.endpoint = Some(to);
         row.attempts += 1;
@@ -335,13 +335,16 @@
             self.budget.earn();
         }
         row.sent_at = now;
-        row.heard_at = now;
+        row.last_received_at = now;
         if let Some(endpoint) = self.endpoints.get_mut(to) {
             endpoint.online_here += 1;
         }
-        let lane = self.lanes.entry(row.arrival.service).or_default();
+        let lane = self.service_states.entry(row.arrival.service).or_default();
         lane.in_flight += 1;
-        *lane.by_workspace.entry(row.arrival.workspace).or_default() += 1;
+        *lane
+            .in_flight_by_workspace
+            .entry(row.arrival.workspace)
+            .or_default() += 1;
         out.push(Action::Send {
             request,
             endpoint: to,
@@ -351,21 +354,27 @@
     }
 
     /// Releases what [`Online::send`] reserved.
-    fn release(&mut self, row: &Row) {
+    fn release(&mut self, row: &RequestRow) {
         if let Some(endpoint) = row.endpoint.and_then(|id| self.endpoints.get_mut(id)) {
             endpoint.online_here = endpoint.online_here.saturating_sub(1);
         }
-        let lane = self.lanes.entry(row.arrival.service).or_default();
+        let lane = self.service_states.entry(row.arrival.service).or_default();
         lane.in_flight = lane.in_flight.saturating_sub(1);
-        if let Some(count) = lane.by_workspace.get_mut(&row.arrival.workspace) {
+        if let Some(count) = lane.in_flight_by_workspace.get_mut(&row.arrival.workspace) {
             *count = count.saturating_sub(1);
         }
     }
 
-    fn enqueue(&mut self, now: Duration, row: Row, queue_limit: usize, out: &mut Vec<Action>) {
+    fn enqueue(
+        &mut self,
+        now: Duration,
+        row: RequestRow,
+        queue_limit: usize,
+        out: &mut Vec<Action>,
+    ) {
         let request = row.arrival.request;
         let (service, workspace) = (row.arrival.service, row.arrival.workspace);
-        let lane = self.lanes.entry(service).or_default();
+        let lane = self.service_states.entry(service).or_default();
         let (all, own) = (
             lane.queued,
             lane.queues.get(&workspace).map_or(0, VecDeque::len),
@@ -388,7 +397,7 @@
             out.push(refusal(request, kind, !row.may_have_run, Some(after)));
             return;
         }
-        let lane = self.lanes.entry(service).or_default();
+        let lane = self.service_states.entry(service).or_default();
         lane.queues.entry(workspace).or_default().push_back(request);
         lane.queued += 1;
         self.rows.insert(request, row);
@@ -411,7 +420,7 @@
 
     /// Expected wait of a request with `ahead` others in front of it.
     fn expected_wait(&self, now: Duration, service: ServiceId, ahead: usize) -> Duration {
-        let Some(lane) = self.lanes.get(&service) else {
+        let Some(lane) = self.service_states.get(&service) else {
             return Duration::ZERO;
         };
         let rows = self.endpoints.of_service(service);
@@ -484,7 +493,7 @@
                     endpoint.succeeded(None);
                 }
                 let held_s = now.saturating_sub(row.sent_at).as_secs_f64();
-                let lane = self.lanes.entry(service).or_default();
+                let lane = self.service_states.entry(service).or_default();
                 let old_s = if lane.hold_s == 0.0 {
                     held_s
                 } else {
@@ -525,7 +534,7 @@
     fn retry(
         &mut self,
         now: Duration,
-        row: Row,
+        row: RequestRow,
         reach: AttemptStage,
         ended: bool,
         out: &mut Vec<Action>,
@@ -540,8 +549,8 @@
         if may && left && (ended || self.budget.spend(now)) {
             match self.route(now, &row) {
                 Ok(endpoint) => return self.send(now, row, endpoint, out),
-                Err(NoEndpointReason::Full) => return self.enqueue_again(now, row, out),
-                Err(NoEndpointReason::Away) => {}
+                Err(NoEndpointReason::AllFull) => return self.enqueue_again(now, row, out),
+                Err(NoEndpointReason::NoneUsable) => {}
             }
         }
         let kind = match (row.may_have_run, row.arrival.idempotent) {
@@ -555,7 +564,7 @@
     }
 
     /// Queues a request again after a failed attempt.
-    fn enqueue_again(&mut self, now: Duration, row: Row, out: &mut Vec<Action>) {
+    fn enqueue_again(&mut self, now: Duration, row: RequestRow, out: &mut Vec<Action>) {
         let services = &self.services;
         let limit = services
             .get(&row.arrival.service)
@@ -592,7 +601,7 @@
                 continue;
             }
             endpoint.eject(now);
-            let stuck = |row: &&mut Row| row.endpoint == Some(id) && row.attempts > 0;
+            let stuck = |row: &&mut RequestRow| row.endpoint == Some(id) && row.attempts > 0;
             for row in self.rows.values_mut().filter(stuck) {
                 row.give_up(out);
             }
@@ -608,7 +617,7 @@
     /// so an attempt without a response is given up only if the endpoint had a free slot for it.
     fn give_up_unanswered(&mut self, now: Duration, out: &mut Vec<Action>) {
         let (endpoints, awake_since) = (&self.endpoints, self.awake_since);
-        let waits = |row: &&mut Row| row.endpoint.is_some() && row.attempts > 0;
+        let waits = |row: &&mut RequestRow| row.endpoint.is_some() && row.attempts > 0;
         for row in self.rows.values_mut().filter(waits) {
             let endpoint = row.endpoint.and_then(|id| endpoints.get(id));
             let crowded = endpoint.is_some_and(|endpoint| endpoint.may_queue(now));
@@ -617,15 +626,15 @@
                 false if crowded => continue,
                 false => SILENCE_CROWDED,
             };
-            if now >= row.heard_at.max(awake_since) + bound {
+            if now >= row.last_received_at.max(awake_since) + bound {
                 row.give_up(out);
             }
         }
     }
 
-    fn unqueue(&mut self, row: &Row) {
+    fn unqueue(&mut self, row: &RequestRow) {
         let request = row.arrival.request;
-        let Some(lane) = self.lanes.get_mut(&row.arrival.service) else {
+        let Some(lane) = self.service_states.get_mut(&row.arrival.service) else {
             return;
         };
         let Some(queue) = lane.queues.get_mut(&row.arrival.workspace) else {
@@ -640,7 +649,7 @@
     /// elsewhere.
     fn expire(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
         let patience = self.patience(service);
-        let Some(lane) = self.lanes.get(&service) else {
+        let Some(lane) = self.service_states.get(&service) else {
             return;
         };
         let late: Vec<RequestId> = lane
@@ -673,13 +682,13 @@
     fn drain(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
         let cap = self.services.get(&service).map_or(0, |s| s.max_in_flight);
         loop {
-            let Some(lane) = self.lanes.get(&service) else {
+            let Some(lane) = self.service_states.get(&service) else {
                 return;
             };
             if lane.queued == 0 || lane.in_flight >= cap {
                 return;
             }
-            let Some(workspace) = self.neediest(service, lane) else {
+            let Some(workspace) = self.furthest_below_share(service, lane) else {
                 return;
             };
             let Some(request) = lane.queues[&workspace].front().copied() else {
@@ -697,9 +706,13 @@
         }
     }
 
-    fn neediest(&self, service: ServiceId, lane: &Lane) -> Option<WorkspaceId> {
+    fn furthest_below_share(&self, service: ServiceId, lane: &ServiceState) -> Option<WorkspaceId> {
         let use_of = |workspace: WorkspaceId, first: &RequestId| {
-            let in_flight = lane.by_workspace.get(&workspace).copied().unwrap_or(0);
+            let in_flight = lane
+                .in_flight_by_workspace
+                .get(&workspace)
+                .copied()
+                .unwrap_or(0);
             let row = self.rows.get(first);
             let weight = row.map_or(1.0, |row| priority_weight(row.arrival.priority));
             let share = self.share(service, workspace) * weight;
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -6,12 +6,12 @@
 
 /// Retries earned by one first attempt. Together with [`RETRY_GRANTED_AFTER`] this limits the
 /// average to 1.1 attempts per request, whatever fails.
-pub const EARNED: f64 = 0.09;
+pub const RETRIES_PER_REQUEST: f64 = 0.09;
 /// After this time without a retry one is always permitted, so that callers of a quiet service get
 /// one too.
-pub const FLOOR: Duration = Duration::from_secs(1);
+pub const RETRY_GRANTED_AFTER: Duration = Duration::from_secs(1);
 /// Maximum number of retries saved up.
-pub const SAVED_MAX: f64 = 10.0;
+pub const SAVED_RETRIES_MAX: f64 = 10.0;
 /// Maximum number of attempts of one request, the first included, unless its route sets another
 /// limit.
 pub const TRIES_MAX: u32 = 3;
@@ -35,29 +35,29 @@
 /// If half of the endpoints fail and every request is tried three times, the load on the healthy
 /// half triples. Limiting retries to a share of the traffic prevents that, whatever fails.
 #[derive(Debug, Clone)]
-pub struct Budget {
+pub struct RetryBudget {
     saved: f64,
     spent_at: Duration,
 }
 
-impl Default for Budget {
-    fn default() -> Budget {
-        Budget {
+impl Default for RetryBudget {
+    fn default() -> RetryBudget {
+        RetryBudget {
             saved: 1.0,
             spent_at: Duration::ZERO,
         }
     }
 }
 
-impl Budget {
+impl RetryBudget {
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED).min(SAVED_MAX);
+        self.saved = (self.saved + RETRIES_PER_REQUEST).min(SAVED_RETRIES_MAX);
     }
 
     /// Takes one retry if one is available.
     pub fn spend(&mut self, now: Duration) -> bool {
-        if self.saved < 1.0 && now >= self.spent_at + FLOOR {
+        if self.saved < 1.0 && now >= self.spent_at + RETRY_GRANTED_AFTER {
             self.saved = 1.0;
         }
         if self.saved < 1.0 {
--- a/src/decide/routing.rs
+++ b/src/decide/routing.rs
@@ -41,17 +41,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoEndpointReason {
     /// All usable endpoints are full.
-    Full,
+    AllFull,
     /// No endpoint is usable.
-    Away,
+    NoneUsable,
 }
 
 /// A test that an endpoint must pass, and whether it must be in the local failure domain.
-type Choice = (fn(&Endpoint, Duration) -> bool, bool);
+type Preference = (fn(&Endpoint, Duration) -> bool, bool);
 
 /// Order used when this VM soon receives what other VMs choose: a free slot, local or remote, goes
 /// before a place in a queue.
-const BY_SLOT: [Choice; 4] = [
+const FREE_SLOT_FIRST: [Preference; 4] = [
     (Endpoint::has_slot, true),
     (Endpoint::has_slot, false),
     (Endpoint::has_room, true),
@@ -63,7 +63,7 @@
 ///
 /// If free slots went first here, three free slots on 32 engines would draw all 60 requests that 54
 /// VMs receive in the next 0.2 s, and these would wait for half a second behind each other.
-const BY_LOAD: [Choice; 3] = [
+const LEAST_LOAD_FIRST: [Preference; 3] = [
     (Endpoint::has_room, true),
     (Endpoint::has_spare_slots, false),
     (Endpoint::has_room, false),
@@ -86,8 +86,8 @@
     rng: &mut impl Rng,
 ) -> Result<EndpointId, NoEndpointReason> {
     let choices = match table.counts_lag {
-        true => &BY_LOAD[..],
-        false => &BY_SLOT[..],
+        true => &LEAST_LOAD_FIRST[..],
+        false => &FREE_SLOT_FIRST[..],
     };
     for (starts, own) in choices {
         let fits = |row: &Endpoint| {
@@ -107,8 +107,8 @@
         return Ok(again.id);
     }
     match usable.count() {
-        0 => Err(NoEndpointReason::Away),
-        _ => Err(NoEndpointReason::Full),
+        0 => Err(NoEndpointReason::NoneUsable),
+        _ => Err(NoEndpointReason::AllFull),
     }
 }
 
--- a/src/decide/slot_grants.rs
+++ b/src/decide/slot_grants.rs
@@ -34,11 +34,10 @@
 #[derive(Debug, Default, Clone)]
 pub struct SlotGrants {
     /// Starts that other VMs may not have received yet.
-    started: HashMap<EndpointId, Vec<Duration>>,
+    recent_starts: HashMap<EndpointId, Vec<Duration>>,
 }
 
 impl SlotGrants {
-    /// Whether this VM may take one of `free` slots.
     /// Whether this VM may take one of `free` slots.
     ///
     /// Its share is computed as the other VMs see it: as if the items it has just started were
@@ -57,8 +56,8 @@
             return free > 0;
         }
         let recent = |starts: &Vec<Duration>| count_recent(now, starts);
-        let here = self.started.get(&endpoint.id).map_or(0, recent);
-        let everywhere: u32 = self.started.values().map(recent).sum();
+        let here = self.recent_starts.get(&endpoint.id).map_or(0, recent);
+        let everywhere: u32 = self.recent_starts.values().map(recent).sum();
         let told = CompetingVm {
             items: own.items + everywhere,
             ..own
@@ -68,11 +67,11 @@
 
     /// Records a start.
     pub fn started(&mut self, now: Duration, endpoint: EndpointId) {
-        self.started.retain(|_, starts| {
+        self.recent_starts.retain(|_, starts| {
             starts.retain(|at| now < *at + START_UNSEEN_TIME);
             !starts.is_empty()
         });
-        self.started.entry(endpoint).or_default().push(now);
+        self.recent_starts.entry(endpoint).or_default().push(now);
     }
 }
 
@@ -103,11 +102,11 @@
         .iter()
         .filter(|rival| is_near(rival) == is_near(&own));
     if !is_near(&own) {
-        return divided(endpoint.id, free.saturating_sub(near), own, peers);
+        return proportional_share(endpoint.id, free.saturating_sub(near), own, peers);
     }
     match near + own.items <= free {
         true => own.items,
-        false => divided(endpoint.id, free, own, peers),
+        false => proportional_share(endpoint.id, free, own, peers),
     }
 }
 
@@ -117,7 +116,7 @@
 /// long as its items. The slots are spaced evenly along the line, and each belongs to the VM of its
 /// segment. VMs of one failure domain are adjacent, so that a VM that sees another failure domain
 /// only as a whole computes the same position as a VM that sees all VMs.
-fn divided<'a>(
+fn proportional_share<'a>(
     endpoint: EndpointId,
     free: u32,
     own: CompetingVm,
