--- a/src/decide/access.rs
+++ b/src/decide/access.rs
@@ -81,20 +81,20 @@
 /// Index of workspaces by key.
 #[derive(Debug, Default)]
 pub struct KeyTable {
-    owners: HashMap<KeyDigest, usize>,
+    positions: HashMap<KeyDigest, usize>,
 }
 
 impl KeyTable {
     /// Builds the index from keys and the positions of their workspaces.
     pub fn new(keys: impl Iterator<Item = (KeyDigest, usize)>) -> KeyTable {
         KeyTable {
-            owners: keys.collect(),
+            positions: keys.collect(),
         }
     }
 
     /// Position of the workspace that a key belongs to.
     pub fn owner(&self, key: &KeyDigest) -> Option<usize> {
-        self.owners.get(key).copied()
+        self.positions.get(key).copied()
     }
 }
 
@@ -109,8 +109,8 @@
 impl Workspaces {
     /// Indexes the workspaces.
     pub fn new(rows: Vec<Workspace>) -> Workspaces {
-        let places = rows.iter().enumerate();
-        let keys = places.flat_map(|(at, row)| row.keys.iter().map(move |key| (*key, at)));
+        let positions = rows.iter().enumerate();
+        let keys = positions.flat_map(|(at, row)| row.keys.iter().map(move |key| (*key, at)));
         Workspaces {
             keys: KeyTable::new(keys),
             by_key: rows
@@ -171,17 +171,17 @@
     now: Duration,
     workspaces: Option<&'a Workspaces>,
     public: bool,
-    shown: Credential,
+    credential: Credential,
     proofs: &Freshness,
 ) -> Result<CallerIdentity<'a>, RefusalKind> {
     let Some(workspaces) = workspaces else {
         return Ok(CallerIdentity::Anyone);
     };
-    let known = match shown {
+    let workspace = match credential {
         Credential::Key(key) => workspaces.by_digest(&key),
         Credential::Missing | Credential::Unreadable => None,
     };
-    match known {
+    match workspace {
         Some(workspace) => Ok(CallerIdentity::Workspace(workspace)),
         None if public => Ok(CallerIdentity::Anyone),
         None if proofs.are_rules_fresh(now) => Err(RefusalKind::Unauthorized),
--- a/src/decide/discovery.rs
+++ b/src/decide/discovery.rs
@@ -257,12 +257,12 @@
         source: SnapshotSource,
     ) -> bool {
         let entries: Vec<KnownEntry> = entries.into_iter().collect();
-        let kept: HashSet<EntryId> = entries.iter().map(|known| known.id).collect();
-        let gone = self.rows.keys().copied().filter(|id| !kept.contains(id));
-        let missing: Vec<EntryId> = gone.collect();
+        let listed: HashSet<EntryId> = entries.iter().map(|known| known.id).collect();
+        let unlisted = self.rows.keys().copied().filter(|id| !listed.contains(id));
+        let removed_ids: Vec<EntryId> = unlisted.collect();
         let mut changed = false;
         // The removals happened at some revision before `at`, which other VMs may know exactly.
-        for id in missing {
+        for id in removed_ids {
             changed |= match source {
                 SnapshotSource::Store => self.apply_removal(now, id, at),
                 SnapshotSource::Peer => self.drop_row(now, id, at, Transition::Removed),
@@ -278,7 +278,7 @@
 
     /// Applies one endpoint of a complete snapshot.
     fn apply_snapshot_entry(&mut self, now: Duration, known: KnownEntry) -> bool {
-        let Some(left) = known.lapsing else {
+        let Some(remaining) = known.lapsing else {
             return self.apply_entry(now, known.id, known.entry, known.revision);
         };
         let Some(row) = self.rows.get_mut(&known.id) else {
@@ -294,9 +294,9 @@
             self.record_past_process(now, known.id, &past);
             return self.drop_row(now, known.id, known.revision, Transition::Removed);
         }
-        let until = now + left.min(RETURN_GRACE);
+        let until = now + remaining.min(RETURN_GRACE);
         let first = row.kept_until.is_none();
-        row.kept_until = Some(row.kept_until.map_or(until, |own| own.min(until)));
+        row.kept_until = Some(row.kept_until.map_or(until, |current| current.min(until)));
         row.revision = known.revision;
         if first {
             self.record_transition(known.entry.name, Transition::Kept, known.revision);
@@ -306,8 +306,8 @@
 
     /// Drops entries that have not come back in time; true if any was dropped.
     pub fn tick(&mut self, now: Duration) -> bool {
-        let over = |row: &EntryRow| row.kept_until.is_some_and(|until| now >= until);
-        let rows = self.rows.iter().filter(|(_, row)| over(row));
+        let is_expired = |row: &EntryRow| row.kept_until.is_some_and(|until| now >= until);
+        let rows = self.rows.iter().filter(|(_, row)| is_expired(row));
         let lapsed: Vec<(EntryId, Revision)> = rows.map(|(id, row)| (*id, row.revision)).collect();
         for (id, revision) in &lapsed {
             self.drop_row(now, *id, *revision, Transition::Lapsed);
--- a/src/decide/discovery/ended.rs
+++ b/src/decide/discovery/ended.rs
@@ -27,7 +27,7 @@
 struct PastProcess {
     process: Option<Incarnation>,
     /// It drained, or a later one did: it never accepts requests again.
-    over: bool,
+    is_over: bool,
 }
 
 /// Ends of endpoints with their revisions, so that an older update that arrives by another path
@@ -54,8 +54,8 @@
         if row.past.len() >= PAST_PROCESSES_MAX {
             row.past.remove(0);
         }
-        let over = false;
-        row.past.push(PastProcess { process, over });
+        let is_over = false;
+        row.past.push(PastProcess { process, is_over });
     }
 
     /// Records that a process drained: it and all processes before it are over.
@@ -63,7 +63,7 @@
         self.record_replaced(now, id, process);
         let past = self.rows.get_mut(&id).into_iter();
         past.flat_map(|row| &mut row.past)
-            .for_each(|past| past.over = true);
+            .for_each(|past| past.is_over = true);
     }
 
     /// Whether an update of this revision is older than the end of its endpoint.
@@ -74,7 +74,7 @@
 
     /// Whether a process is over: updates about it that still arrive were sent before it ended.
     pub fn is_over(&self, id: EntryId, process: Option<Incarnation>) -> bool {
-        self.past(id, process).is_some_and(|past| past.over)
+        self.past(id, process).is_some_and(|past| past.is_over)
     }
 
     /// Whether another process was seen in place of this one.
--- a/src/decide/discovery/outage.rs
+++ b/src/decide/discovery/outage.rs
@@ -42,7 +42,9 @@
     pub fn record_failure(&mut self, now: Duration, since: Duration, others_served: bool) {
         // The store was available while it answered another call.
         let since = self.answered_at.map_or(since, |at| since.max(at));
-        let earliest = self.failing_since.map_or(since, |known| known.min(since));
+        let earliest = self
+            .failing_since
+            .map_or(since, |current| current.min(since));
         self.failing_since = Some(earliest);
         self.failed_at = Some(now);
         if others_served && now >= earliest + CUT_OFF_AFTER {
--- a/src/decide/endpoints.rs
+++ b/src/decide/endpoints.rs
@@ -142,9 +142,9 @@
     /// reported.
     pub fn has_room(&self, now: Duration) -> bool {
         let slots = (self.slots(now) - f64::from(self.kept)).max(1.0);
-        let left = slots + QUEUED_AHEAD_MAX - f64::from(self.online_elsewhere);
-        let even = slots / f64::from(self.remote_vms + 1);
-        f64::from(self.online_here) + 1.0 <= left.max(even)
+        let unused = slots + QUEUED_AHEAD_MAX - f64::from(self.online_elsewhere);
+        let even_share = slots / f64::from(self.remote_vms + 1);
+        f64::from(self.online_here) + 1.0 <= unused.max(even_share)
     }
 
     /// Whether one more online request would start at once, or as soon as a batch item is
@@ -215,7 +215,10 @@
         if report.incarnation < newest {
             return;
         }
-        if self.leaving.is_some_and(|left| report.incarnation > left) {
+        if self
+            .leaving
+            .is_some_and(|previous| report.incarnation > previous)
+        {
             self.leaving = None;
         }
         if report.leaving {
@@ -295,25 +298,25 @@
         let services: Vec<ServiceId> = self.by_service.keys().copied().collect();
         for service in services {
             let rows = &self.by_service[&service];
-            let mut times: Vec<f64> = rows
+            let mut times_ms: Vec<f64> = rows
                 .iter()
                 .map(|at| self.rows[*at].first_token_ms)
                 .filter(|ms| *ms > 0.0)
                 .collect();
-            if times.len() < 3 {
+            if times_ms.len() < 3 {
                 continue;
             }
-            times.sort_by(f64::total_cmp);
-            let bound = (times[(times.len() - 1) / 2] * SLOW_FACTOR).max(SLOW_FLOOR_MS);
-            let out = rows
+            times_ms.sort_by(f64::total_cmp);
+            let bound_ms = (times_ms[(times_ms.len() - 1) / 2] * SLOW_FACTOR).max(SLOW_FLOOR_MS);
+            let ejected = rows
                 .iter()
                 .filter(|at| !self.rows[**at].usable(now))
                 .count();
             let slow = rows
                 .iter()
                 .copied()
-                .find(|at| self.rows[*at].first_token_ms > bound && self.rows[*at].usable(now));
-            if let Some(at) = slow.filter(|_| (out + 1) * 3 <= rows.len()) {
+                .find(|at| self.rows[*at].first_token_ms > bound_ms && self.rows[*at].usable(now));
+            if let Some(at) = slow.filter(|_| (ejected + 1) * 3 <= rows.len()) {
                 self.rows[at].eject(now);
             }
         }
--- a/src/decide/idle.rs
+++ b/src/decide/idle.rs
@@ -41,13 +41,13 @@
 
 impl Idle {
     /// Counts the time since the last plan by its snapshot, and stores the new snapshot.
-    pub fn note(&mut self, now: Duration, beside: IdleSnapshot) {
-        let step = now.saturating_sub(self.at).min(COUNTED_INTERVAL_MAX);
+    pub fn note(&mut self, now: Duration, snapshot: IdleSnapshot) {
+        let elapsed = now.saturating_sub(self.at).min(COUNTED_INTERVAL_MAX);
         for (reason, slots) in reasons(self.snapshot) {
-            *self.lost.entry(reason).or_default() += step * slots;
+            *self.lost.entry(reason).or_default() += elapsed * slots;
         }
         self.at = now;
-        self.snapshot = beside;
+        self.snapshot = snapshot;
     }
 
     /// Slot-time lost for a reason since the start.
@@ -57,10 +57,10 @@
 }
 
 /// Free slots by reason; no more than there are items to fill them.
-fn reasons(beside: IdleSnapshot) -> [(IdleReason, u32); 2] {
-    let ready = beside.ready.min(beside.free_slots);
-    let paused = beside.paused.min(beside.free_slots - ready);
-    match beside.starting {
+fn reasons(snapshot: IdleSnapshot) -> [(IdleReason, u32); 2] {
+    let ready = snapshot.ready.min(snapshot.free_slots);
+    let paused = snapshot.paused.min(snapshot.free_slots - ready);
+    match snapshot.starting {
         true => [(IdleReason::Turn, ready), (IdleReason::Pause, paused)],
         false => [
             (IdleReason::Stopping, ready + paused),
--- a/src/decide/intents.rs
+++ b/src/decide/intents.rs
@@ -110,7 +110,7 @@
 
 #[derive(Debug, Clone)]
 struct Waiter {
-    ticket: WaiterId,
+    id: WaiterId,
     key: IntentKey,
     request: IntentRequest,
     since: Duration,
@@ -187,15 +187,15 @@
     pub fn ask(
         &mut self,
         now: Duration,
-        ticket: WaiterId,
+        waiter: WaiterId,
         key: IntentKey,
-        ask: IntentRequest,
+        request: IntentRequest,
         out: &mut Vec<Action>,
     ) {
         self.waiting.push(Waiter {
-            ticket,
+            id: waiter,
             key,
-            request: ask,
+            request,
             since: now,
             abandoned: false,
         });
@@ -253,8 +253,8 @@
         });
         writing.in_flight = false;
         writing.commit.read(seen);
-        let standing = found.flatten().map(|(_, page)| page);
-        self.finish_write(now, standing, out);
+        let stored = found.flatten().map(|(_, page)| page);
+        self.finish_write(now, stored, out);
         self.tick(now, out);
     }
 
@@ -287,13 +287,13 @@
             return;
         }
         self.next_slot = slot + 1;
-        for (key, mark) in &page.entries {
-            match mark {
+        for (key, record) in &page.entries {
+            match record {
                 IntentRecord::Released => {
                     self.index.remove(key);
                 }
-                mark => {
-                    self.index.insert(key.clone(), mark.clone());
+                record => {
+                    self.index.insert(key.clone(), record.clone());
                 }
             }
         }
@@ -302,11 +302,11 @@
     /// Answers requests whose verdict is already in the log.
     fn reply_from_index(&mut self, out: &mut Vec<Action>) {
         let index = &self.index;
-        self.waiting.retain(|waiting| {
-            let IntentRequest::Begin { content } = &waiting.request else {
+        self.waiting.retain(|waiter| {
+            let IntentRequest::Begin { content } = &waiter.request else {
                 return true;
             };
-            let verdict = match index.get(&waiting.key) {
+            let verdict = match index.get(&waiter.key) {
                 None | Some(IntentRecord::Released) => return true,
                 Some(IntentRecord::Answered(answered)) => IntentVerdict::Replay(answered.clone()),
                 Some(IntentRecord::Begun { content: first }) if first != content => {
@@ -314,9 +314,9 @@
                 }
                 Some(IntentRecord::Begun { .. }) => IntentVerdict::Begun,
             };
-            if !waiting.abandoned {
+            if !waiter.abandoned {
                 out.push(Action::Tell {
-                    ticket: waiting.ticket,
+                    ticket: waiter.id,
                     verdict,
                 });
             }
@@ -326,29 +326,29 @@
 
     fn start_write(&mut self, now: Duration) {
         let mut entries: Vec<(IntentKey, IntentRecord)> = Vec::new();
-        let mut asks = Vec::new();
+        let mut waiters = Vec::new();
         let mut later = Vec::new();
         let mut bytes = 0;
-        for waiting in std::mem::take(&mut self.waiting) {
-            let mark = match &waiting.request {
+        for waiter in std::mem::take(&mut self.waiting) {
+            let record = match &waiter.request {
                 IntentRequest::Begin { content } => IntentRecord::Begun {
                     content: content.clone(),
                 },
-                IntentRequest::End(mark) => mark.clone(),
+                IntentRequest::End(record) => record.clone(),
             };
-            bytes += mark_bytes(&mark);
-            let taken = entries.iter().any(|(key, _)| *key == waiting.key);
+            bytes += record_bytes(&record);
+            let key_in_page = entries.iter().any(|(key, _)| *key == waiter.key);
             // A second request for the same key waits for the next page, when the first one is
             // known.
-            if taken
+            if key_in_page
                 || entries.len() >= PAGE_ENTRIES_MAX
-                || (bytes > PAGE_BYTES_MAX && !asks.is_empty())
+                || (bytes > PAGE_BYTES_MAX && !waiters.is_empty())
             {
-                later.push(waiting);
+                later.push(waiter);
                 continue;
             }
-            entries.push((waiting.key.clone(), mark));
-            asks.push(waiting);
+            entries.push((waiter.key.clone(), record));
+            waiters.push(waiter);
         }
         self.waiting = later;
         self.nonce = self.nonce.wrapping_add(1);
@@ -360,7 +360,7 @@
         let commit = Commit::new(0);
         self.writing = Some(PageWrite {
             page,
-            waiters: asks,
+            waiters,
             commit,
             in_flight: false,
             not_before: now,
@@ -386,7 +386,7 @@
         writing.in_flight = true;
     }
 
-    fn finish_write(&mut self, now: Duration, standing: Option<IntentPage>, out: &mut Vec<Action>) {
+    fn finish_write(&mut self, now: Duration, stored: Option<IntentPage>, out: &mut Vec<Action>) {
         let Some(mut writing) = self.writing.take() else {
             return;
         };
@@ -398,13 +398,13 @@
             Step::Won(_) => {
                 self.last_write_at = Some(now);
                 self.apply(self.next_slot, &writing.page);
-                for waiting in writing.waiters {
-                    self.reply_written(now, waiting, out);
+                for waiter in writing.waiters {
+                    self.reply_written(now, waiter, out);
                 }
             }
             Step::Lost => {
                 // Another VM's page has this slot: apply it and try the next slot.
-                if let Some(page) = standing {
+                if let Some(page) = stored {
                     self.apply(self.next_slot, &page);
                 }
                 self.requeue(writing.waiters);
@@ -419,37 +419,37 @@
     }
 
     /// Puts the requests of a page that was not written back at the front of the queue.
-    fn requeue(&mut self, mut asks: Vec<Waiter>) {
-        asks.retain(|waiting| !waiting.abandoned);
-        asks.append(&mut self.waiting);
-        self.waiting = asks;
+    fn requeue(&mut self, mut waiters: Vec<Waiter>) {
+        waiters.retain(|waiter| !waiter.abandoned);
+        waiters.append(&mut self.waiting);
+        self.waiting = waiters;
     }
 
-    fn reply_written(&mut self, now: Duration, waiting: Waiter, out: &mut Vec<Action>) {
-        if !waiting.abandoned {
+    fn reply_written(&mut self, now: Duration, waiter: Waiter, out: &mut Vec<Action>) {
+        if !waiter.abandoned {
             out.push(Action::Tell {
-                ticket: waiting.ticket,
+                ticket: waiter.id,
                 verdict: IntentVerdict::Go,
             });
-        } else if matches!(waiting.request, IntentRequest::Begin { .. }) {
+        } else if matches!(waiter.request, IntentRequest::Begin { .. }) {
             // The waiter was answered "not run" while the result of the write was unknown, and the
             // write took effect after all. Unless the key is released, it would stay "may have run"
             // for ever.
             self.waiting.push(Waiter {
                 request: IntentRequest::End(IntentRecord::Released),
                 since: now,
-                ..waiting
+                ..waiter
             });
         }
     }
 
     /// Answers all requests that want to begin: nothing can be begun now.
     fn reply_unavailable(&mut self, out: &mut Vec<Action>) {
-        self.waiting.retain(|waiting| {
-            let begin = matches!(waiting.request, IntentRequest::Begin { .. });
-            if begin && !waiting.abandoned {
+        self.waiting.retain(|waiter| {
+            let begin = matches!(waiter.request, IntentRequest::Begin { .. });
+            if begin && !waiter.abandoned {
                 out.push(Action::Tell {
-                    ticket: waiting.ticket,
+                    ticket: waiter.id,
                     verdict: IntentVerdict::Away,
                 });
             }
@@ -459,25 +459,25 @@
 
     /// Limits the wait for a write whose result is unknown: no byte was sent, so "not run" is true.
     fn abandon_overdue(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let late = |since: Duration| now >= since + WRITE_RESULT_TIMEOUT;
+        let is_overdue = |since: Duration| now >= since + WRITE_RESULT_TIMEOUT;
         if let Some(writing) = &mut self.writing {
-            for waiting in &mut writing.waiters {
-                let begin = matches!(waiting.request, IntentRequest::Begin { .. });
-                if begin && !waiting.abandoned && late(waiting.since) {
-                    waiting.abandoned = true;
+            for waiter in &mut writing.waiters {
+                let begin = matches!(waiter.request, IntentRequest::Begin { .. });
+                if begin && !waiter.abandoned && is_overdue(waiter.since) {
+                    waiter.abandoned = true;
                     out.push(Action::Tell {
-                        ticket: waiting.ticket,
+                        ticket: waiter.id,
                         verdict: IntentVerdict::Away,
                     });
                 }
             }
         }
-        self.waiting.retain(|waiting| {
-            let begin = matches!(waiting.request, IntentRequest::Begin { .. });
-            if begin && late(waiting.since) {
-                if !waiting.abandoned {
+        self.waiting.retain(|waiter| {
+            let begin = matches!(waiter.request, IntentRequest::Begin { .. });
+            if begin && is_overdue(waiter.since) {
+                if !waiter.abandoned {
                     out.push(Action::Tell {
-                        ticket: waiting.ticket,
+                        ticket: waiter.id,
                         verdict: IntentVerdict::Away,
                     });
                 }
@@ -488,8 +488,8 @@
     }
 }
 
-fn mark_bytes(mark: &IntentRecord) -> usize {
-    match mark {
+fn record_bytes(record: &IntentRecord) -> usize {
+    match record {
         IntentRecord::Answered(answered) => answered.body.as_ref().map_or(0, String::len) + 64,
         _ => 128,
     }
--- a/src/decide/online.rs
+++ b/src/decide/online.rs
@@ -22,7 +22,7 @@
 /// Admit a request only if its expected wait is at most this part of the longest permitted wait.
 /// The estimate is sometimes too short, and a request that is admitted and then dropped costs its
 /// caller more than an immediate refusal.
-const ADMIT: f64 = 0.6;
+const ADMITTED_WAIT_RATIO: f64 = 0.6;
 /// An endpoint that sends nothing on any connection for this long is ejected: many times the
 /// interval between two events, and short compared with the seconds until a caller's deadline.
 pub const SILENCE: Duration = Duration::from_millis(400);
@@ -33,14 +33,14 @@
 /// for a second is late already.
 pub const ANSWER_SILENCE: Duration = Duration::from_secs(1);
 /// Two ticks further apart than this mean that this process itself was paused.
-const PAUSE_SEEN: Duration = Duration::from_millis(250);
+const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(250);
 /// Attempts refused by dead endpoints that one request may have on top of its regular attempts.
 /// Each takes about a millisecond, and after this many the VM has ejected all dead endpoints.
-const TURNED_AWAY_MAX: u32 = 8;
+const REFUSED_ATTEMPTS_MAX: u32 = 8;
 /// Higher priority numbers are treated as this one.
 const PRIORITY_MAX: u32 = 8;
 /// Weight of the newest sample in the moving average of slot times.
-const AVERAGE_NEW: f64 = 0.1;
+const SLOT_TIME_WEIGHT: f64 = 0.1;
 
 /// Configuration of one service.
 #[derive(Debug, Clone, PartialEq)]
@@ -132,7 +132,7 @@
     endpoint: Option<EndpointId>,
     attempts: u32,
     /// Attempts refused by the host of a dead endpoint; they do not count as attempts.
-    turned_away: u32,
+    refused_attempts: u32,
     /// Whether any attempt may have run.
     may_have_run: bool,
     /// Data of the response has been received in this attempt.
@@ -143,17 +143,17 @@
 
 impl RequestRow {
     fn has_attempts_left(&self) -> bool {
-        let turned_away = self.turned_away.min(TURNED_AWAY_MAX);
-        self.attempts < self.arrival.attempts_max + turned_away
+        let refused_attempts = self.refused_attempts.min(REFUSED_ATTEMPTS_MAX);
+        self.attempts < self.arrival.attempts_max + refused_attempts
     }
 
     /// Gives up this attempt if another one may follow.
     fn give_up(&mut self, out: &mut Vec<Action>) {
-        let again = match self.answering {
+        let may_retry = match self.answering {
             true => self.arrival.resumable,
             false => self.arrival.idempotent,
         };
-        if again && !self.given_up && self.has_attempts_left() {
+        if may_retry && !self.given_up && self.has_attempts_left() {
             self.given_up = true;
             out.push(Action::GiveUp {
                 request: self.arrival.request,
@@ -169,7 +169,7 @@
     queues: HashMap<WorkspaceId, VecDeque<RequestId>>,
     queued: usize,
     /// Moving average of the time for which a request holds a slot, in seconds.
-    hold_s: f64,
+    slot_time_s: f64,
 }
 
 /// Queue of one service, for operators.
@@ -197,24 +197,24 @@
     ticked_at: Duration,
     /// When this process last resumed after a pause of its own. Silence before that time is not
     /// evidence against an endpoint.
-    awake_since: Duration,
+    resumed_at: Duration,
     rng: SmallRng,
 }
 
 impl Online {
     /// An empty state for a VM in the failure domain `local_domain`.
-    pub fn new(home: DomainId, rng: SmallRng) -> Online {
+    pub fn new(local_domain: DomainId, rng: SmallRng) -> Online {
         Online {
             endpoints: Endpoints::default(),
             services: HashMap::new(),
             policy: Policy::Affinity,
             watch_silence: false,
-            local_domain: home,
+            local_domain,
             rows: HashMap::new(),
             service_states: HashMap::new(),
             budget: RetryBudget::default(),
             ticked_at: Duration::ZERO,
-            awake_since: Duration::ZERO,
+            resumed_at: Duration::ZERO,
             rng,
         }
     }
@@ -222,9 +222,9 @@
     /// Handles one event.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrived(now, arrival, out),
-            Event::FirstToken { request } => self.first_token(now, request),
-            Event::Ended { request, outcome } => self.ended(now, request, outcome, out),
+            Event::Arrived(arrival) => self.handle_arrival(now, arrival, out),
+            Event::FirstToken { request } => self.handle_first_token(now, request),
+            Event::Ended { request, outcome } => self.handle_end(now, request, outcome, out),
         }
     }
 
@@ -237,8 +237,8 @@
 
     /// Sends queued requests that have room now and drops those that can't be served in time.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if now > self.ticked_at + PAUSE_SEEN {
-            self.awake_since = now;
+        if now > self.ticked_at + PROCESS_PAUSE_MIN {
+            self.resumed_at = now;
         }
         self.ticked_at = now;
         self.endpoints.eject_slow(now);
@@ -249,7 +249,7 @@
         let services: Vec<ServiceId> = self.service_states.keys().copied().collect();
         for service in services {
             self.expire(now, service, out);
-            self.drain(now, service, out);
+            self.dispatch(now, service, out);
         }
     }
 
@@ -260,16 +260,16 @@
 
     /// State of each service's queue.
     pub fn waiting(&self, now: Duration) -> Vec<ServiceQueue> {
-        let of = |(service, lane): (&ServiceId, &ServiceState)| ServiceQueue {
+        let queue_of = |(service, state): (&ServiceId, &ServiceState)| ServiceQueue {
             service: *service,
-            in_flight: lane.in_flight,
-            queued: lane.queued,
-            expected_wait_ms: self.expected_wait(now, *service, lane.queued).as_millis() as u64,
+            in_flight: state.in_flight,
+            queued: state.queued,
+            expected_wait_ms: self.expected_wait(now, *service, state.queued).as_millis() as u64,
         };
-        self.service_states.iter().map(of).collect()
+        self.service_states.iter().map(queue_of).collect()
     }
 
-    fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut Vec<Action>) {
+    fn handle_arrival(&mut self, now: Duration, arrival: Arrival, out: &mut Vec<Action>) {
         let request = arrival.request;
         let row = RequestRow {
             arrived_at: now,
@@ -277,7 +277,7 @@
             last_received_at: now,
             endpoint: None,
             attempts: 0,
-            turned_away: 0,
+            refused_attempts: 0,
             may_have_run: false,
             answering: false,
             given_up: false,
@@ -288,29 +288,34 @@
             return;
         };
         let (queue_limit, max_in_flight) = (service.queue_limit, service.max_in_flight);
-        let lane = self.service_states.entry(row.arrival.service).or_default();
-        let free = lane.queued == 0 && lane.in_flight < max_in_flight;
+        let state = self.service_states.entry(row.arrival.service).or_default();
+        let free = state.queued == 0 && state.in_flight < max_in_flight;
         if now >= row.arrival.deadline {
             out.push(refusal(request, RefusalKind::DeadlinePassed, true, None));
             return;
         }
-        let found = if free {
+        let choice = if free {
             self.route(now, &row)
         } else {
             Err(NoEndpointReason::AllFull)
         };
-        match found {
+        match choice {
             Ok(endpoint) => self.send(now, row, endpoint, out),
             Err(NoEndpointReason::NoneUsable) => {
-                let after = self.spread(RETRY_AFTER_MIN * 2);
-                out.push(refusal(request, RefusalKind::NoEndpoint, true, Some(after)));
+                let retry_after = self.jittered(RETRY_AFTER_MIN * 2);
+                out.push(refusal(
+                    request,
+                    RefusalKind::NoEndpoint,
+                    true,
+                    Some(retry_after),
+                ));
             }
             Err(NoEndpointReason::AllFull) => self.enqueue(now, row, queue_limit, out),
         }
     }
 
     fn route(&mut self, now: Duration, row: &RequestRow) -> Result<EndpointId, NoEndpointReason> {
-        let ask = RouteQuery {
+        let query = RouteQuery {
             service: row.arrival.service,
             prefix: row.arrival.prefix,
             avoid: row.endpoint,
@@ -318,7 +323,7 @@
         routing::choose(
             &self.endpoints,
             self.local_domain,
-            ask,
+            query,
             self.policy,
             now,
             &mut self.rng,
@@ -339,9 +344,9 @@
         if let Some(endpoint) = self.endpoints.get_mut(to) {
             endpoint.online_here += 1;
         }
-        let lane = self.service_states.entry(row.arrival.service).or_default();
-        lane.in_flight += 1;
-        *lane
+        let state = self.service_states.entry(row.arrival.service).or_default();
+        state.in_flight += 1;
+        *state
             .in_flight_by_workspace
             .entry(row.arrival.workspace)
             .or_default() += 1;
@@ -358,9 +363,9 @@
         if let Some(endpoint) = row.endpoint.and_then(|id| self.endpoints.get_mut(id)) {
             endpoint.online_here = endpoint.online_here.saturating_sub(1);
         }
-        let lane = self.service_states.entry(row.arrival.service).or_default();
-        lane.in_flight = lane.in_flight.saturating_sub(1);
-        if let Some(count) = lane.in_flight_by_workspace.get_mut(&row.arrival.workspace) {
+        let state = self.service_states.entry(row.arrival.service).or_default();
+        state.in_flight = state.in_flight.saturating_sub(1);
+        if let Some(count) = state.in_flight_by_workspace.get_mut(&row.arrival.workspace) {
             *count = count.saturating_sub(1);
         }
     }
@@ -374,37 +379,42 @@
     ) {
         let request = row.arrival.request;
         let (service, workspace) = (row.arrival.service, row.arrival.workspace);
-        let lane = self.service_states.entry(service).or_default();
-        let (all, own) = (
-            lane.queued,
-            lane.queues.get(&workspace).map_or(0, VecDeque::len),
+        let state = self.service_states.entry(service).or_default();
+        let (all_queued, own_queued) = (
+            state.queued,
+            state.queues.get(&workspace).map_or(0, VecDeque::len),
         );
         let share = self.share(service, workspace);
-        let quota = ((queue_limit as f64 * share).ceil() as usize).max(1);
-        let wait = self.expected_wait(now, service, own_position(own, share, all));
-        let kind = if own >= quota {
+        let workspace_limit = ((queue_limit as f64 * share).ceil() as usize).max(1);
+        let wait = self.expected_wait(now, service, queue_position(own_queued, share, all_queued));
+        let kind = if own_queued >= workspace_limit {
             Some(RefusalKind::ShareUsed)
-        } else if all >= queue_limit {
+        } else if all_queued >= queue_limit {
             Some(RefusalKind::ServiceFull)
-        } else if now + wait >= row.arrival.deadline || wait > self.patience(service).mul_f64(ADMIT)
+        } else if now + wait >= row.arrival.deadline
+            || wait > self.max_wait(service).mul_f64(ADMITTED_WAIT_RATIO)
         {
             Some(RefusalKind::DeadlineUnreachable)
         } else {
             None
         };
         if let Some(kind) = kind {
-            let after = self.spread(wait.max(RETRY_AFTER_MIN));
-            out.push(refusal(request, kind, !row.may_have_run, Some(after)));
+            let retry_after = self.jittered(wait.max(RETRY_AFTER_MIN));
+            out.push(refusal(request, kind, !row.may_have_run, Some(retry_after)));
             return;
         }
-        let lane = self.service_states.entry(service).or_default();
-        lane.queues.entry(workspace).or_default().push_back(request);
-        lane.queued += 1;
+        let state = self.service_states.entry(service).or_default();
+        state
+            .queues
+            .entry(workspace)
+            .or_default()
+            .push_back(request);
+        state.queued += 1;
         self.rows.insert(request, row);
     }
 
     /// Longest time that a request may wait and still get its first token near the goal.
-    fn patience(&self, service: ServiceId) -> Duration {
+    fn max_wait(&self, service: ServiceId) -> Duration {
         self.services
             .get(&service)
             .map_or(Duration::ZERO, |s| s.first_token_goal)
@@ -420,7 +430,7 @@
 
     /// Expected wait of a request with `ahead` others in front of it.
     fn expected_wait(&self, now: Duration, service: ServiceId, ahead: usize) -> Duration {
-        let Some(lane) = self.service_states.get(&service) else {
+        let Some(state) = self.service_states.get(&service) else {
             return Duration::ZERO;
         };
         let rows = self.endpoints.of_service(service);
@@ -430,27 +440,27 @@
             .filter(|row| row.usable(now))
             .map(|row| row.slots(now))
             .sum();
-        let cap = self
+        let max_in_flight = self
             .services
             .get(&service)
             .map_or(0.0, |s| s.max_in_flight as f64);
         // The slots held by this VM's requests are those it can expect to get back.
-        let turn = (lane.in_flight as f64)
+        let slots_in_use = (state.in_flight as f64)
             .max(1.0)
             .min(slots.max(1.0))
-            .min(cap.max(1.0));
-        Duration::from_secs_f64((ahead as f64 + 1.0) * lane.hold_s / turn)
+            .min(max_in_flight.max(1.0));
+        Duration::from_secs_f64((ahead as f64 + 1.0) * state.slot_time_s / slots_in_use)
     }
 
     /// Jitters a retry time by a factor of 0.5 to 1.5, so that callers refused together don't
     /// return together.
-    fn spread(&mut self, about: Duration) -> Duration {
+    fn jittered(&mut self, about: Duration) -> Duration {
         about
             .mul_f64(self.rng.random_range(0.5..1.5))
             .max(RETRY_AFTER_MIN)
     }
 
-    fn first_token(&mut self, now: Duration, request: RequestId) {
+    fn handle_first_token(&mut self, now: Duration, request: RequestId) {
         let Some(row) = self.rows.get_mut(&request) else {
             return;
         };
@@ -470,7 +480,7 @@
         }
     }
 
-    fn ended(
+    fn handle_end(
         &mut self,
         now: Duration,
         request: RequestId,
@@ -481,7 +491,7 @@
             return;
         };
         if row.attempts == 0 {
-            self.unqueue(&row);
+            self.dequeue(&row);
             return;
         }
         self.release(&row);
@@ -493,13 +503,14 @@
                     endpoint.succeeded(None);
                 }
                 let held_s = now.saturating_sub(row.sent_at).as_secs_f64();
-                let lane = self.service_states.entry(service).or_default();
-                let old_s = if lane.hold_s == 0.0 {
+                let state = self.service_states.entry(service).or_default();
+                let previous_s = if state.slot_time_s == 0.0 {
                     held_s
                 } else {
-                    lane.hold_s
+                    state.slot_time_s
                 };
-                lane.hold_s = old_s * (1.0 - AVERAGE_NEW) + held_s * AVERAGE_NEW;
+                state.slot_time_s =
+                    previous_s * (1.0 - SLOT_TIME_WEIGHT) + held_s * SLOT_TIME_WEIGHT;
             }
             AttemptOutcome::Abandoned => {}
             AttemptOutcome::Failed {
@@ -516,11 +527,11 @@
                 }
                 row.may_have_run |=
                     matches!(reach, AttemptStage::MaybeSent | AttemptStage::Answering);
-                row.turned_away += u32::from(ended && reach == AttemptStage::NotSent);
+                row.refused_attempts += u32::from(ended && reach == AttemptStage::NotSent);
                 self.retry(now, row, reach, ended, out);
             }
         }
-        self.drain(now, service, out);
+        self.dispatch(now, service, out);
     }
 
     /// Retries a failed attempt if permitted.
@@ -541,15 +552,15 @@
     ) {
         let request = row.arrival.request;
         let arrival = &row.arrival;
-        let may = match reach {
+        let permitted = match reach {
             AttemptStage::Answering if arrival.resumable => true,
             _ => retry::allowed(reach, arrival.idempotent),
         };
-        let left = row.has_attempts_left() && now < arrival.deadline;
-        if may && left && (ended || self.budget.spend(now)) {
+        let attempts_left = row.has_attempts_left() && now < arrival.deadline;
+        if permitted && attempts_left && (ended || self.budget.spend(now)) {
             match self.route(now, &row) {
                 Ok(endpoint) => return self.send(now, row, endpoint, out),
-                Err(NoEndpointReason::AllFull) => return self.enqueue_again(now, row, out),
+                Err(NoEndpointReason::AllFull) => return self.requeue(now, row, out),
                 Err(NoEndpointReason::NoneUsable) => {}
             }
         }
@@ -559,12 +570,12 @@
             (true, true) => RefusalKind::EndpointFailed,
         };
         let not_run = !row.may_have_run;
-        let after = self.spread(RETRY_AFTER_MIN * 2);
-        out.push(refusal(request, kind, not_run, Some(after)));
+        let retry_after = self.jittered(RETRY_AFTER_MIN * 2);
+        out.push(refusal(request, kind, not_run, Some(retry_after)));
     }
 
     /// Queues a request again after a failed attempt.
-    fn enqueue_again(&mut self, now: Duration, row: RequestRow, out: &mut Vec<Action>) {
+    fn requeue(&mut self, now: Duration, row: RequestRow, out: &mut Vec<Action>) {
         let services = &self.services;
         let limit = services
             .get(&row.arrival.service)
@@ -588,11 +599,11 @@
             }
         }
         for (id, (oldest, answering)) in waits {
-            let awake_since = self.awake_since;
+            let resumed_at = self.resumed_at;
             let Some(endpoint) = self.endpoints.get_mut(id) else {
                 continue;
             };
-            let since = endpoint.last_received_at.max(oldest).max(awake_since);
+            let since = endpoint.last_received_at.max(oldest).max(resumed_at);
             let bound = match answering || !endpoint.may_queue(now) {
                 true => SILENCE,
                 false => SILENCE_CROWDED,
@@ -601,8 +612,8 @@
                 continue;
             }
             endpoint.eject(now);
-            let stuck = |row: &&mut RequestRow| row.endpoint == Some(id) && row.attempts > 0;
-            for row in self.rows.values_mut().filter(stuck) {
+            let is_affected = |row: &&mut RequestRow| row.endpoint == Some(id) && row.attempts > 0;
+            for row in self.rows.values_mut().filter(is_affected) {
                 row.give_up(out);
             }
         }
@@ -616,7 +627,7 @@
     /// deadline. A request in the queue of an endpoint without free slots receives nothing either,
     /// so an attempt without a response is given up only if the endpoint had a free slot for it.
     fn give_up_unanswered(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let (endpoints, awake_since) = (&self.endpoints, self.awake_since);
+        let (endpoints, resumed_at) = (&self.endpoints, self.resumed_at);
         let waits = |row: &&mut RequestRow| row.endpoint.is_some() && row.attempts > 0;
         for row in self.rows.values_mut().filter(waits) {
             let endpoint = row.endpoint.and_then(|id| endpoints.get(id));
@@ -626,72 +637,72 @@
                 false if crowded => continue,
                 false => SILENCE_CROWDED,
             };
-            if now >= row.last_received_at.max(awake_since) + bound {
+            if now >= row.last_received_at.max(resumed_at) + bound {
                 row.give_up(out);
             }
         }
     }
 
-    fn unqueue(&mut self, row: &RequestRow) {
+    fn dequeue(&mut self, row: &RequestRow) {
         let request = row.arrival.request;
-        let Some(lane) = self.service_states.get_mut(&row.arrival.service) else {
+        let Some(state) = self.service_states.get_mut(&row.arrival.service) else {
             return;
         };
-        let Some(queue) = lane.queues.get_mut(&row.arrival.workspace) else {
+        let Some(queue) = state.queues.get_mut(&row.arrival.workspace) else {
             return;
         };
         let before = queue.len();
         queue.retain(|queued| *queued != request);
-        lane.queued -= before - queue.len();
+        state.queued -= before - queue.len();
     }
 
     /// Drops queued requests as soon as they have waited too long, so that callers can go
     /// elsewhere.
     fn expire(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
-        let patience = self.patience(service);
-        let Some(lane) = self.service_states.get(&service) else {
+        let max_wait = self.max_wait(service);
+        let Some(state) = self.service_states.get(&service) else {
             return;
         };
-        let late: Vec<RequestId> = lane
+        let expired: Vec<RequestId> = state
             .queues
             .values()
             .flatten()
             .copied()
             .filter(|request| {
                 let row = &self.rows[request];
-                now >= row.arrival.deadline || now >= row.arrived_at + patience
+                now >= row.arrival.deadline || now >= row.arrived_at + max_wait
             })
             .collect();
-        for request in late {
+        for request in expired {
             let Some(row) = self.rows.remove(&request) else {
                 continue;
             };
-            self.unqueue(&row);
+            self.dequeue(&row);
             let kind = if now >= row.arrival.deadline {
                 RefusalKind::DeadlinePassed
             } else {
                 RefusalKind::DeadlineUnreachable
             };
-            let after = self.spread(RETRY_AFTER_MIN * 2);
-            out.push(refusal(request, kind, !row.may_have_run, Some(after)));
+            let retry_after = self.jittered(RETRY_AFTER_MIN * 2);
+            out.push(refusal(request, kind, !row.may_have_run, Some(retry_after)));
         }
     }
 
     /// Sends queued requests while there is room, from the workspace furthest below its share
     /// first. Less urgent requests lower the effective share of a workspace, but never to zero.
-    fn drain(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
-        let cap = self.services.get(&service).map_or(0, |s| s.max_in_flight);
+    fn dispatch(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
+        let max_in_flight = self.services.get(&service).map_or(0, |s| s.max_in_flight);
         loop {
-            let Some(lane) = self.service_states.get(&service) else {
+            let Some(state) = self.service_states.get(&service) else {
                 return;
             };
-            if lane.queued == 0 || lane.in_flight >= cap {
+            if state.queued == 0 || state.in_flight >= max_in_flight {
                 return;
             }
-            let Some(workspace) = self.furthest_below_share(service, lane) else {
+            let Some(workspace) = self.furthest_below_share(service, state) else {
                 return;
             };
-            let Some(request) = lane.queues[&workspace].front().copied() else {
+            let Some(request) = state.queues[&workspace].front().copied() else {
                 return;
             };
             let Some(row) = self.rows.get(&request).cloned() else {
@@ -701,14 +712,18 @@
                 return;
             };
             self.rows.remove(&request);
-            self.unqueue(&row);
+            self.dequeue(&row);
             self.send(now, row, endpoint, out);
         }
     }
 
-    fn furthest_below_share(&self, service: ServiceId, lane: &ServiceState) -> Option<WorkspaceId> {
-        let use_of = |workspace: WorkspaceId, first: &RequestId| {
-            let in_flight = lane
+    fn furthest_below_share(
+        &self,
+        service: ServiceId,
+        state: &ServiceState,
+    ) -> Option<WorkspaceId> {
+        let relative_use = |workspace: WorkspaceId, first: &RequestId| {
+            let in_flight = state
                 .in_flight_by_workspace
                 .get(&workspace)
                 .copied()
@@ -718,9 +733,9 @@
             let share = self.share(service, workspace) * weight;
             (in_flight as f64 + 1.0) / share.max(f64::EPSILON)
         };
-        let waiting = lane.queues.iter().filter_map(|(workspace, queue)| {
+        let waiting = state.queues.iter().filter_map(|(workspace, queue)| {
             let first = queue.front()?;
-            Some((*workspace, use_of(*workspace, first)))
+            Some((*workspace, relative_use(*workspace, first)))
         });
         waiting
             .min_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)))
@@ -733,11 +748,11 @@
     0.5f64.powi(priority.min(PRIORITY_MAX) as i32)
 }
 
-/// Number of requests expected to be served before one with `own` requests of its workspace in
-/// front of it. With a share of the slots, the workspace's queue moves at that share of the pace,
-/// but never slower than the whole queue.
-fn own_position(own: usize, share: f64, all: usize) -> usize {
-    ((own as f64 / share.max(f64::EPSILON)) as usize).min(all)
+/// Number of requests expected to be served before one with `own_queued` requests of its workspace
+/// in front of it. With a share of the slots, the workspace's queue moves at that share of the
+/// pace, but never slower than the whole queue.
+fn queue_position(own_queued: usize, share: f64, all_queued: usize) -> usize {
+    ((own_queued as f64 / share.max(f64::EPSILON)) as usize).min(all_queued)
 }
 
 fn refusal(
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -36,15 +36,15 @@
 /// half triples. Limiting retries to a share of the traffic prevents that, whatever fails.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    saved: f64,
-    spent_at: Duration,
+    saved_retries: f64,
+    last_retry_at: Duration,
 }
 
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
         RetryBudget {
-            saved: 1.0,
-            spent_at: Duration::ZERO,
+            saved_retries: 1.0,
+            last_retry_at: Duration::ZERO,
         }
     }
 }
@@ -52,26 +52,26 @@
 impl RetryBudget {
     /// Counts a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + RETRIES_PER_REQUEST).min(SAVED_RETRIES_MAX);
+        self.saved_retries = (self.saved_retries + RETRIES_PER_REQUEST).min(SAVED_RETRIES_MAX);
     }
 
     /// Takes one retry if one is available.
     pub fn spend(&mut self, now: Duration) -> bool {
-        if self.saved < 1.0 && now >= self.spent_at + RETRY_GRANTED_AFTER {
-            self.saved = 1.0;
+        if self.saved_retries < 1.0 && now >= self.last_retry_at + RETRY_GRANTED_AFTER {
+            self.saved_retries = 1.0;
         }
-        if self.saved < 1.0 {
+        if self.saved_retries < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
-        self.spent_at = now;
+        self.saved_retries -= 1.0;
+        self.last_retry_at = now;
         true
     }
 }
 
 /// Whether a retry can do no harm; the budget is checked separately.
-pub fn allowed(reach: AttemptStage, idempotent: bool) -> bool {
-    match reach {
+pub fn allowed(stage: AttemptStage, idempotent: bool) -> bool {
+    match stage {
         AttemptStage::Answering => false,
         AttemptStage::NotSent | AttemptStage::Refused => true,
         AttemptStage::MaybeSent => idempotent,
--- a/src/decide/routing.rs
+++ b/src/decide/routing.rs
@@ -79,7 +79,7 @@
 /// behind eight that have just begun, for 0.3 to 0.5 s, while 12 of 144 slots are free.
 pub fn choose(
     table: &Endpoints,
-    home: DomainId,
+    local_domain: DomainId,
     ask: RouteQuery,
     policy: Policy,
     now: Duration,
@@ -89,10 +89,10 @@
         true => &LEAST_LOAD_FIRST[..],
         false => &FREE_SLOT_FIRST[..],
     };
-    for (starts, own) in choices {
+    for (test, local) in choices {
         let fits = |row: &Endpoint| {
-            let near = (row.declared.domain == home) == *own;
-            near && row.usable(now) && starts(row, now) && ask.avoid != Some(row.id)
+            let is_local = (row.declared.domain == local_domain) == *local;
+            is_local && row.usable(now) && test(row, now) && ask.avoid != Some(row.id)
         };
         if let Some(found) = best(table, ask, policy, now, rng, fits) {
             return Ok(found);
@@ -103,8 +103,8 @@
         .map(|at| &table.rows[*at])
         .filter(|row| row.usable(now));
     // An endpoint that failed before is better than none.
-    if let Some(again) = usable.clone().find(|row| row.has_room(now)) {
-        return Ok(again.id);
+    if let Some(retried) = usable.clone().find(|row| row.has_room(now)) {
+        return Ok(retried.id);
     }
     match usable.count() {
         0 => Err(NoEndpointReason::NoneUsable),
--- a/src/decide/slot_grants.rs
+++ b/src/decide/slot_grants.rs
@@ -55,14 +55,14 @@
         if others.is_empty() {
             return free > 0;
         }
-        let recent = |starts: &Vec<Duration>| count_recent(now, starts);
-        let here = self.recent_starts.get(&endpoint.id).map_or(0, recent);
-        let everywhere: u32 = self.recent_starts.values().map(recent).sum();
-        let told = CompetingVm {
+        let unseen = |starts: &Vec<Duration>| count_unseen(now, starts);
+        let here = self.recent_starts.get(&endpoint.id).map_or(0, unseen);
+        let everywhere: u32 = self.recent_starts.values().map(unseen).sum();
+        let as_seen_by_others = CompetingVm {
             items: own.items + everywhere,
             ..own
         };
-        here < slot_share(endpoint, free + here, told, others)
+        here < slot_share(endpoint, free + here, as_seen_by_others, others)
     }
 
     /// Records a start.
@@ -75,7 +75,7 @@
     }
 }
 
-fn count_recent(now: Duration, starts: &[Duration]) -> u32 {
+fn count_unseen(now: Duration, starts: &[Duration]) -> u32 {
     starts
         .iter()
         .filter(|at| now < **at + START_UNSEEN_TIME)
@@ -92,21 +92,26 @@
     own: CompetingVm,
     others: &[CompetingVm],
 ) -> u32 {
-    let is_near = |rival: &CompetingVm| rival.domain == endpoint.domain;
-    let near: u32 = others
+    let in_endpoint_domain = |other: &CompetingVm| other.domain == endpoint.domain;
+    let endpoint_domain_items: u32 = others
         .iter()
-        .filter(|rival| is_near(rival))
-        .map(|rival| rival.items)
+        .filter(|other| in_endpoint_domain(other))
+        .map(|other| other.items)
         .sum();
-    let peers = others
+    let competitors = others
         .iter()
-        .filter(|rival| is_near(rival) == is_near(&own));
-    if !is_near(&own) {
-        return proportional_share(endpoint.id, free.saturating_sub(near), own, peers);
+        .filter(|other| in_endpoint_domain(other) == in_endpoint_domain(&own));
+    if !in_endpoint_domain(&own) {
+        return proportional_share(
+            endpoint.id,
+            free.saturating_sub(endpoint_domain_items),
+            own,
+            competitors,
+        );
     }
-    match near + own.items <= free {
+    match endpoint_domain_items + own.items <= free {
         true => own.items,
-        false => proportional_share(endpoint.id, free, own, peers),
+        false => proportional_share(endpoint.id, free, own, competitors),
     }
 }
 
@@ -122,22 +127,23 @@
     own: CompetingVm,
     others: impl Iterator<Item = &'a CompetingVm>,
 ) -> u32 {
-    let place = |of: &CompetingVm| {
+    let rank = |of: &CompetingVm| {
         let domain = (weight(endpoint, of.domain), of.domain);
         (domain, weight(endpoint, of.vm), of.vm)
     };
-    let (mut ahead, mut all) = (0, u64::from(own.items));
-    for rival in others {
-        all += u64::from(rival.items);
-        if place(rival) > place(&own) {
-            ahead += u64::from(rival.items);
+    let (mut items_before, mut items_total) = (0, u64::from(own.items));
+    for other in others {
+        items_total += u64::from(other.items);
+        if rank(other) > rank(&own) {
+            items_before += u64::from(other.items);
         }
     }
-    if all == 0 {
+    if items_total == 0 {
         return 0;
     }
     // Number of slots whose middle lies before a point of the line; in half slots, to stay exact.
-    let before = |point: u64| (2 * point * u64::from(free) + all - 1) / (2 * all);
-    let (start, end) = (ahead, ahead + u64::from(own.items));
-    (before(end) - before(start)) as u32
+    let slots_before =
+        |point: u64| (2 * point * u64::from(free) + items_total - 1) / (2 * items_total);
+    let (start, end) = (items_before, items_before + u64::from(own.items));
+    (slots_before(end) - slots_before(start)) as u32
 }
--- a/src/decide/window.rs
+++ b/src/decide/window.rs
@@ -29,15 +29,15 @@
 }
 
 /// Number of batch items that may be at the endpoint now; any beyond it are cancelled.
-pub fn batch_window(seen: EndpointLoad, knob: BatchWeight, now: Duration) -> u32 {
-    let weight = knob.online_weight.clamp(0.0, 1.0);
-    let free = (seen.slots - f64::from(seen.online)).max(0.0);
-    let hold = ONLINE_HOLD.mul_f64(weight);
-    let busy = seen.online > 0 || seen.online_at.is_some_and(|at| now < at + hold);
+pub fn batch_window(load: EndpointLoad, setting: BatchWeight, now: Duration) -> u32 {
+    let weight = setting.online_weight.clamp(0.0, 1.0);
+    let free = (load.slots - f64::from(load.online)).max(0.0);
+    let hold_time = ONLINE_HOLD.mul_f64(weight);
+    let busy = load.online > 0 || load.online_at.is_some_and(|at| now < at + hold_time);
     if !busy {
         return free as u32;
     }
-    if seen.urgent {
+    if load.urgent {
         return (free / 2.0) as u32;
     }
     (free * (1.0 - weight)) as u32
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -25,15 +25,15 @@
     paused_until: u32,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     step: u32,
     log: BTreeMap<u64, IntentPage>,
     owners: Vec<Owner>,
-    asked: HashMap<u64, (usize, String)>,
-    next_ticket: u64,
+    owner_by_waiter: HashMap<u64, (usize, String)>,
+    next_waiter: u64,
     /// How often the request of each key was sent.
-    ran: HashMap<String, u32>,
+    sends: HashMap<String, u32>,
     replayed: u32,
     outage: bool,
 }
@@ -46,8 +46,8 @@
     }
 }
 
-impl World {
-    fn new(seed: u64, owners: usize) -> World {
+impl Simulation {
+    fn new(seed: u64, owners: usize) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
         let owners = (0..owners)
             .map(|_| Owner {
@@ -56,14 +56,14 @@
                 paused_until: 0,
             })
             .collect();
-        World {
+        Simulation {
             rng,
             step: 0,
             log: BTreeMap::new(),
             owners,
-            asked: HashMap::new(),
-            next_ticket: 0,
-            ran: HashMap::new(),
+            owner_by_waiter: HashMap::new(),
+            next_waiter: 0,
+            sends: HashMap::new(),
             replayed: 0,
             outage: false,
         }
@@ -73,11 +73,12 @@
         STEP * self.step
     }
 
-    fn ask(&mut self, owner: usize, key: &str, ask: IntentRequest) {
-        self.next_ticket += 1;
-        self.asked.insert(self.next_ticket, (owner, key.to_owned()));
+    fn submit(&mut self, owner: usize, key: &str, ask: IntentRequest) {
+        self.next_waiter += 1;
+        self.owner_by_waiter
+            .insert(self.next_waiter, (owner, key.to_owned()));
         let mut out = Vec::new();
-        let (now, ticket) = (self.now(), self.next_ticket);
+        let (now, ticket) = (self.now(), self.next_waiter);
         self.owners[owner]
             .range
             .ask(now, ticket, key.to_owned(), ask, &mut out);
@@ -108,7 +109,7 @@
             let fails = self.outage || self.rng.random_bool(0.1);
             let event = match action {
                 Action::Tell { ticket, verdict } => {
-                    self.told(ticket, verdict);
+                    self.on_reply(ticket, verdict);
                     continue;
                 }
                 Action::List { from } => {
@@ -130,19 +131,19 @@
         }
     }
 
-    fn told(&mut self, ticket: u64, verdict: IntentVerdict) {
-        let (owner, key) = self.asked[&ticket].clone();
+    fn on_reply(&mut self, ticket: u64, verdict: IntentVerdict) {
+        let (owner, key) = self.owner_by_waiter[&ticket].clone();
         match verdict {
             IntentVerdict::Go if !key.starts_with("end-") => {
-                *self.ran.entry(key.clone()).or_default() += 1;
+                *self.sends.entry(key.clone()).or_default() += 1;
                 // Some answers are never recorded because their VM died.
                 if self.rng.random_bool(0.7) {
                     let mark = IntentRecord::Answered(answered(&key));
-                    self.next_ticket += 1;
-                    self.asked
-                        .insert(self.next_ticket, (owner, format!("end-{key}")));
+                    self.next_waiter += 1;
+                    self.owner_by_waiter
+                        .insert(self.next_waiter, (owner, format!("end-{key}")));
                     let mut out = Vec::new();
-                    let (now, ticket) = (self.now(), self.next_ticket);
+                    let (now, ticket) = (self.now(), self.next_waiter);
                     self.owners[owner].range.ask(
                         now,
                         ticket,
@@ -180,12 +181,12 @@
                 self.owners[owner].paused_until = self.step + self.rng.random_range(5..200);
             }
             if self.owners[owner].paused_until <= self.step {
-                self.wake(owner);
+                self.resume(owner);
             }
         }
     }
 
-    fn wake(&mut self, owner: usize) {
+    fn resume(&mut self, owner: usize) {
         let (now, step) = (self.now(), self.step);
         let mut out = Vec::new();
         let state = &mut self.owners[owner];
@@ -206,13 +207,13 @@
     }
 }
 
-fn play(seed: u64, owners: usize) -> World {
-    let mut world = World::new(seed, owners);
+fn simulate(seed: u64, owners: usize) -> Simulation {
+    let mut simulation = Simulation::new(seed, owners);
     for _ in 0..1_500 {
-        if world.rng.random_bool(0.2) && world.step < 1_200 {
-            let owner = world.rng.random_range(0..owners);
-            let key = format!("key-{}", world.rng.random_range(0..30));
-            world.ask(
+        if simulation.rng.random_bool(0.2) && simulation.step < 1_200 {
+            let owner = simulation.rng.random_range(0..owners);
+            let key = format!("key-{}", simulation.rng.random_range(0..30));
+            simulation.submit(
                 owner,
                 &key,
                 IntentRequest::Begin {
@@ -220,9 +221,9 @@
                 },
             );
         }
-        world.run_step();
+        simulation.run_step();
     }
-    world
+    simulation
 }
 
 quickcheck! {
@@ -230,15 +231,15 @@
     // platform is unavailable or its responses are lost. No key is sent twice: a writer has read
     // all earlier pages before it writes one, and of two pages for one slot only one is accepted.
     fn keys_once(seed: u64) -> bool {
-        play(seed, 3).ran.values().all(|runs| *runs == 1)
+        simulate(seed, 3).sends.values().all(|runs| *runs == 1)
     }
 
     // Many repeated requests get the recorded answer; if all got "unknown", the log would be of no
     // use. In one simulation in thousands the platform is unavailable nearly throughout and there
     // is nothing to replay, so of eight simulations in a row at most one may have none.
     fn answers_replayed(seed: u64) -> bool {
-        let plays = (0..8).map(|step| play(seed.wrapping_add(step), 2));
-        let without = plays.filter(|world| !world.ran.is_empty() && world.replayed == 0);
+        let simulations = (0..8).map(|step| simulate(seed.wrapping_add(step), 2));
+        let without = simulations.filter(|simulation| !simulation.sends.is_empty() && simulation.replayed == 0);
         without.count() <= 1
     }
 }
--- a/tests/endpoint_discovery.rs
+++ b/tests/endpoint_discovery.rs
@@ -32,7 +32,7 @@
 }
 
 /// Three endpoints, read at revision 10.
-fn three() -> Discovery {
+fn three_endpoints() -> Discovery {
     let mut discovery = Discovery::default();
     let names = ["a", "b", "c"];
     let entries = names.map(|name| KnownEntry {
@@ -47,7 +47,7 @@
 
 #[test]
 fn removed_at_once() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     assert!(discovery.apply_removal(ms(100), id::of("a"), 11));
     assert_eq!(usable(&discovery).len(), 2);
 }
@@ -58,7 +58,7 @@
 // then.
 #[test]
 fn lapsed_in_outage() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
     for name in ["a", "b", "c"] {
         assert!(!discovery.apply_removal(ms(5_200), id::of(name), 20));
@@ -75,7 +75,7 @@
 // outage.
 #[test]
 fn one_failed_call() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     discovery.store_failed(ms(5_000), ms(5_000), false);
     assert!(discovery.apply_removal(ms(5_200), id::of("a"), 20));
     // Each failure is followed by an answer: the store is not unavailable.
@@ -92,7 +92,7 @@
 // longer.
 #[test]
 fn grace_from_return() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
     discovery.store_answered(ms(5_100));
     assert!(!discovery.apply_removal(ms(5_900), id::of("b"), 20));
@@ -110,7 +110,7 @@
         (true, CUT_OFF_AFTER - ms(1), true),
         (false, CUT_OFF_AFTER, true),
     ] {
-        let mut discovery = three();
+        let mut discovery = three_endpoints();
         discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
         let since = ms(5_000) - OUTAGE_MIN;
         discovery.store_failed(since + failing, since + failing, others_served);
@@ -124,7 +124,7 @@
 // get requests for more than two seconds after it left.
 #[test]
 fn leaves_after_outage() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     discovery.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
     assert!(discovery.apply_removal(ms(7_100), id::of("b"), 30));
     assert!(!usable(&discovery).contains(&id::of("b")));
@@ -134,7 +134,7 @@
 // outdated read must not send requests there again.
 #[test]
 fn drain_is_final() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     discovery.apply_entry(ms(5_250), id::of("c"), entry("c", true), 40);
     discovery.apply_entry(ms(5_250), id::of("c"), entry("c", false), 39);
     discovery.apply_entry(ms(5_250), id::of("c"), entry("c", false), 41);
@@ -146,13 +146,13 @@
 // again, or items would reach an engine that announced more than two seconds ago that it leaves.
 #[test]
 fn lapse_not_revived() {
-    let (mut away, mut other) = (three(), three());
+    let (mut cut_off, mut other) = (three_endpoints(), three_endpoints());
     other.apply_removal(ms(5_000), id::of("b"), 12);
-    away.store_failed(ms(5_100), ms(5_100) - OUTAGE_MIN, false);
-    let stands = other.export(ms(5_100));
-    away.apply_snapshot(ms(5_100), stands, 13, SnapshotSource::Store);
-    let told = away.export(ms(5_200));
-    other.apply_snapshot(ms(5_300), told, 14, SnapshotSource::Peer);
+    cut_off.store_failed(ms(5_100), ms(5_100) - OUTAGE_MIN, false);
+    let snapshot = other.export(ms(5_100));
+    cut_off.apply_snapshot(ms(5_100), snapshot, 13, SnapshotSource::Store);
+    let exported = cut_off.export(ms(5_200));
+    other.apply_snapshot(ms(5_300), exported, 14, SnapshotSource::Peer);
     assert!(!usable(&other).contains(&id::of("b")));
 }
 
@@ -160,18 +160,18 @@
 // sending there at once instead of waiting for the end of its own outage.
 #[test]
 fn peer_tells_removal() {
-    let (mut away, mut other) = (three(), three());
+    let (mut cut_off, mut other) = (three_endpoints(), three_endpoints());
     other.apply_removal(ms(5_000), id::of("b"), 12);
-    away.store_failed(ms(5_100), ms(5_100) - OUTAGE_MIN, false);
-    away.apply_snapshot(ms(5_200), other.export(ms(5_200)), 12, SnapshotSource::Peer);
-    assert!(!usable(&away).contains(&id::of("b")));
+    cut_off.store_failed(ms(5_100), ms(5_100) - OUTAGE_MIN, false);
+    cut_off.apply_snapshot(ms(5_200), other.export(ms(5_200)), 12, SnapshotSource::Peer);
+    assert!(!usable(&cut_off).contains(&id::of("b")));
 }
 
 // An engine drains and its entry is removed; a late write of its own restores the entry as if it
 // served. The engine is about to end, so it must get no more requests.
 #[test]
 fn drained_stays_away() {
-    let mut discovery = three();
+    let mut discovery = three_endpoints();
     discovery.apply_entry(ms(5_250), id::of("c"), entry("c", true), 40);
     discovery.apply_removal(ms(5_000), id::of("c"), 41);
     discovery.apply_entry(ms(5_250), id::of("c"), entry("c", false), 42);
@@ -182,13 +182,13 @@
 // lapsed ones for a while, and so must this one, or its callers would find no engine.
 #[test]
 fn peer_tells_lapse() {
-    let (mut away, mut other) = (three(), three());
+    let (mut cut_off, mut other) = (three_endpoints(), three_endpoints());
     other.store_failed(ms(5_000), ms(5_000) - OUTAGE_MIN, false);
     other.apply_removal(ms(5_200), id::of("b"), 12);
-    away.apply_snapshot(ms(5_300), other.export(ms(5_300)), 12, SnapshotSource::Peer);
-    assert!(usable(&away).contains(&id::of("b")));
-    assert!(away.tick(ms(5_200) + RETURN_GRACE));
-    assert!(!usable(&away).contains(&id::of("b")));
+    cut_off.apply_snapshot(ms(5_300), other.export(ms(5_300)), 12, SnapshotSource::Peer);
+    assert!(usable(&cut_off).contains(&id::of("b")));
+    assert!(cut_off.tick(ms(5_200) + RETURN_GRACE));
+    assert!(!usable(&cut_off).contains(&id::of("b")));
 }
 
 #[test]
@@ -202,11 +202,11 @@
 quickcheck! {
     // Whatever the order in which writes and removals arrive, an engine is used exactly if its
     // newest update is a plain entry and not a removal, as long as there is no outage.
-    fn newest_counts(news: Vec<(bool, u8)>) -> bool {
+    fn newest_counts(updates: Vec<(bool, u8)>) -> bool {
         let mut discovery = Discovery::default();
         let id = id::of("x");
         let mut newest: Option<(u64, bool)> = None;
-        for (at, (written, revision)) in news.into_iter().enumerate() {
+        for (at, (written, revision)) in updates.into_iter().enumerate() {
             // Revisions are unique; order of arrival breaks ties.
             let revision = u64::from(revision) * 1000 + at as u64 + 1;
             let now = ms(at as u64 * 10);
--- a/tests/item_turns.rs
+++ b/tests/item_turns.rs
@@ -13,14 +13,14 @@
 use quickcheck::quickcheck;
 
 const SERVICE: u64 = 1;
-const HOME: u64 = 1;
+const LOCAL_DOMAIN: u64 = 1;
 const SLOTS: u32 = 7;
 const VMS: u64 = 20;
 const ENDPOINTS: usize = 10;
 /// Interval between two plans of a VM.
 const PLAN_MS: u64 = 50;
 /// Interval between two reports of each VM to the others.
-const TOLD_MS: u64 = 100;
+const REPORT_MS: u64 = 100;
 const RUN: Duration = Duration::from_millis(3000);
 
 struct Vm {
@@ -50,32 +50,38 @@
 
 /// Simulates the items of all VMs until every one has run; returns the numbers of starts and stops,
 /// and the end of the last item.
-fn play(take_turns: bool) -> (usize, usize, Duration) {
+fn simulate(use_grants: bool) -> (usize, usize, Duration) {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| HOME));
+    endpoints.configure(declared(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| {
+        LOCAL_DOMAIN
+    }));
     let mut vms = vms();
     let (mut starts, mut stops) = (0, 0);
     let mut waiting: Vec<CompetingVm> = Vec::new();
     for step in 0..4000 {
         let now = Duration::from_millis(step * PLAN_MS);
-        if (step * PLAN_MS).is_multiple_of(TOLD_MS) {
-            tell(&mut vms, &endpoints, now);
+        if (step * PLAN_MS).is_multiple_of(REPORT_MS) {
+            exchange_reports(&mut vms, &endpoints, now);
         }
-        let rival = |vm: &Vm| CompetingVm {
+        let competitor = |vm: &Vm| CompetingVm {
             vm: vm.id,
-            domain: HOME,
+            domain: LOCAL_DOMAIN,
             items: vm.items.waiting() as u32,
         };
-        if (step * PLAN_MS).is_multiple_of(TOLD_MS) {
-            waiting = vms.iter().map(rival).filter(|one| one.items > 0).collect();
+        if (step * PLAN_MS).is_multiple_of(REPORT_MS) {
+            waiting = vms
+                .iter()
+                .map(competitor)
+                .filter(|one| one.items > 0)
+                .collect();
         }
         for vm in &mut vms {
-            let others = waiting.iter().filter(|rival| rival.vm != vm.id);
+            let others = waiting.iter().filter(|competitor| competitor.vm != vm.id);
             let others: Vec<CompetingVm> = others.copied().collect();
             let own = ItemPlanner {
                 vm: vm.id,
-                domain: HOME,
-                rivals: if take_turns { &others } else { &[] },
+                domain: LOCAL_DOMAIN,
+                rivals: if use_grants { &others } else { &[] },
                 starting: true,
             };
             let ended: Vec<ItemKey> = vm
@@ -110,8 +116,8 @@
 }
 
 /// Every VM receives the use of each endpoint by all other VMs.
-fn tell(vms: &mut [Vm], endpoints: &Endpoints, now: Duration) {
-    let said: Vec<(u64, Vec<(u64, EndpointUse)>)> = vms
+fn exchange_reports(vms: &mut [Vm], endpoints: &Endpoints, now: Duration) {
+    let reports: Vec<(u64, Vec<(u64, EndpointUse)>)> = vms
         .iter()
         .map(|vm| {
             let placed = vm.items.placed(now);
@@ -128,7 +134,7 @@
         })
         .collect();
     for vm in vms {
-        for (other, uses) in said.iter().filter(|(other, _)| *other != vm.id) {
+        for (other, uses) in reports.iter().filter(|(other, _)| *other != vm.id) {
             vm.usage.apply_report(now, *other, uses.clone());
         }
         vm.usage.tick(now);
@@ -141,12 +147,15 @@
 // of 213.
 #[test]
 fn slots_shared_out() {
-    let (starts, stops, ended) = play(false);
-    let (starts_turns, stops_turns, ended_turns) = play(true);
-    assert!(stops_turns * 10 < stops, "{stops_turns} against {stops}");
-    assert!(starts_turns < starts, "{starts_turns} against {starts}");
+    let (starts, stops, ended) = simulate(false);
+    let (starts_granted, stops_granted, ended_granted) = simulate(true);
+    assert!(
+        stops_granted * 10 < stops,
+        "{stops_granted} against {stops}"
+    );
+    assert!(starts_granted < starts, "{starts_granted} against {starts}");
     // Simulated time: using the 70 slots three times over takes 9 s at best.
-    assert!(ended_turns < ended.mul_f64(1.1));
+    assert!(ended_granted < ended.mul_f64(1.1));
 }
 
 quickcheck! {
@@ -160,12 +169,12 @@
         let of = |own: &CompetingVm| {
             let others = rivals.iter().filter(|other| other.vm != own.vm);
             let others: Vec<CompetingVm> = others.copied().collect();
-            slot_share(EndpointPlace { id: endpoint, domain: HOME }, free, *own, &others)
+            slot_share(EndpointPlace { id: endpoint, domain: LOCAL_DOMAIN }, free, *own, &others)
         };
         let started: u32 = rivals.iter().map(of).sum();
-        let items = |near: bool| {
-            let of = rivals.iter().filter(|rival| (rival.domain == HOME) == near);
-            of.map(|rival| rival.items).sum::<u32>()
+        let items = |local: bool| {
+            let of = rivals.iter().filter(|competitor| (competitor.domain == LOCAL_DOMAIN) == local);
+            of.map(|competitor| competitor.items).sum::<u32>()
         };
         started == if items(false) > 0 { free } else { free.min(items(true)) }
     }
@@ -175,37 +184,43 @@
 // takes its share, and nothing more until they have.
 #[test]
 fn part_of_a_round() {
-    let mut turns = SlotGrants::default();
+    let mut grants = SlotGrants::default();
     let now = Duration::from_secs(5);
-    let rival = |vm, items| CompetingVm {
+    let competitor = |vm, items| CompetingVm {
         vm,
-        domain: HOME,
+        domain: LOCAL_DOMAIN,
         items,
     };
     let endpoint = EndpointPlace {
         id: 1,
-        domain: HOME,
+        domain: LOCAL_DOMAIN,
     };
-    let others = [rival(4, 10)];
+    let others = [competitor(4, 10)];
     let mut taken = 0;
-    while turns.may_start(now, endpoint, 8 - taken, rival(3, 10 - taken), &others) {
-        turns.started(now, 1);
+    while grants.may_start(now, endpoint, 8 - taken, competitor(3, 10 - taken), &others) {
+        grants.started(now, 1);
         taken += 1;
     }
     assert_eq!(taken, 4);
-    assert!(turns.may_start(now, endpoint, 4, rival(3, 6), &[]));
-    assert!(turns.may_start(now + START_UNSEEN_TIME, endpoint, 4, rival(3, 6), &others));
+    assert!(grants.may_start(now, endpoint, 4, competitor(3, 6), &[]));
+    assert!(grants.may_start(
+        now + START_UNSEEN_TIME,
+        endpoint,
+        4,
+        competitor(3, 6),
+        &others
+    ));
 }
 
 // Slots of an engine go first to VMs in its failure domain; the others get those left over.
 #[test]
 fn near_first() {
-    let rival = |vm, domain, items| CompetingVm { vm, domain, items };
+    let competitor = |vm, domain, items| CompetingVm { vm, domain, items };
     let endpoint = EndpointPlace { id: 1, domain: 1 };
-    let (near, far) = (rival(3, 1, 5), rival(4, 2, 50));
-    assert_eq!(slot_share(endpoint, 8, near, &[far]), 5);
-    assert_eq!(slot_share(endpoint, 8, far, &[near]), 3);
-    assert_eq!(slot_share(endpoint, 4, far, &[near]), 0);
+    let (local, remote) = (competitor(3, 1, 5), competitor(4, 2, 50));
+    assert_eq!(slot_share(endpoint, 8, local, &[remote]), 5);
+    assert_eq!(slot_share(endpoint, 8, remote, &[local]), 3);
+    assert_eq!(slot_share(endpoint, 4, remote, &[local]), 0);
 }
 
 // In a pause between bursts 80 items wait at one VM and one item at another, beside 144 free slots.
@@ -213,7 +228,7 @@
 #[test]
 fn uneven_queues() {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(18, SERVICE, 8.0, |_| HOME));
+    endpoints.configure(declared(18, SERVICE, 8.0, |_| LOCAL_DOMAIN));
     let mut items = Items::default();
     for item in 0..80 {
         let key = ItemKey {
@@ -224,10 +239,10 @@
     }
     let own = ItemPlanner {
         vm: 1,
-        domain: HOME,
+        domain: LOCAL_DOMAIN,
         rivals: &[CompetingVm {
             vm: 2,
-            domain: HOME,
+            domain: LOCAL_DOMAIN,
             items: 1,
         }],
         starting: true,
@@ -245,36 +260,38 @@
         let free = u32::from(free % 16);
         let endpoint = EndpointPlace {
             id: 1,
-            domain: HOME,
+            domain: LOCAL_DOMAIN,
         };
-        let rival = |(at, items): (usize, &u8)| CompetingVm {
+        let competitor = |(at, items): (usize, &u8)| CompetingVm {
             vm: at as u64 + 100,
-            domain: HOME + at as u64 % 4,
+            domain: LOCAL_DOMAIN + at as u64 % 4,
             items: u32::from(items % 12),
         };
-        let all: Vec<CompetingVm> = items.iter().take(40).enumerate().map(rival).collect();
+        let all: Vec<CompetingVm> = items.iter().take(40).enumerate().map(competitor).collect();
         let items_of = |domain: u64| {
-            let of = all.iter().filter(|rival| rival.domain == domain);
-            of.map(|rival| rival.items).sum::<u32>()
+            let of = all.iter().filter(|competitor| competitor.domain == domain);
+            of.map(|competitor| competitor.items).sum::<u32>()
         };
-        let whole = |domain: u64| CompetingVm {
+        let domain_total = |domain: u64| CompetingVm {
             vm: domain,
             domain,
             items: items_of(domain),
         };
-        let part_of = |own: &CompetingVm| {
-            let near = all
+        let share_of = |own: &CompetingVm| {
+            let local = all
                 .iter()
                 .filter(|other| other.domain == own.domain && other.vm != own.vm);
-            let far = (HOME..HOME + 4).filter(|domain| *domain != own.domain);
-            let others: Vec<CompetingVm> = near.copied().chain(far.map(whole)).collect();
+            let remote = (LOCAL_DOMAIN..LOCAL_DOMAIN + 4).filter(|domain| *domain != own.domain);
+            let others: Vec<CompetingVm> = local.copied().chain(remote.map(domain_total)).collect();
             slot_share(endpoint, free, *own, &others)
         };
-        let taken: u32 = all.iter().map(part_of).sum();
-        let near = items_of(HOME);
-        let far = (HOME + 1..HOME + 4).map(items_of).sum::<u32>();
-        match far {
-            0 => taken == free.min(near),
+        let taken: u32 = all.iter().map(share_of).sum();
+        let local = items_of(LOCAL_DOMAIN);
+        let remote = (LOCAL_DOMAIN + 1..LOCAL_DOMAIN + 4)
+            .map(items_of)
+            .sum::<u32>();
+        match remote {
+            0 => taken == free.min(local),
             _ => taken == free,
         }
     }
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -8,13 +8,13 @@
 use rand::{Rng, SeedableRng};
 
 /// A store key with its value history; each write increments the revision.
-struct Key {
+struct StoreKey {
     revision: u64,
     value: u32,
     history: Vec<u32>,
 }
 
-impl Key {
+impl StoreKey {
     fn put(&mut self, rng: &mut SmallRng, expect: u64, value: u32) -> Answer {
         match rng.random_range(0..6) {
             0 => return Answer::Away,
@@ -41,7 +41,7 @@
     // the one whose value is stored gets "won", since it finds its own bytes when it reads.
     fn one_winner(seed: u64) -> bool {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let mut key = Key { revision: 1, value: 0, history: Vec::new() };
+        let mut key = StoreKey { revision: 1, value: 0, history: Vec::new() };
         let mut writers = [Commit::new(1), Commit::new(1)];
         for _ in 0..200 {
             let at = rng.random_range(0..2);
--- a/tests/online_rules.rs
+++ b/tests/online_rules.rs
@@ -14,7 +14,7 @@
 use rand::{Rng, SeedableRng};
 
 const SERVICE: u64 = 1;
-const HOME: u64 = 1;
+const LOCAL_DOMAIN: u64 = 1;
 const TICK: Duration = Duration::from_millis(10);
 
 fn ms(count: u64) -> Duration {
@@ -22,10 +22,10 @@
 }
 
 fn online(seed: u64, endpoints: usize, slots: f64) -> Online {
-    let mut online = Online::new(HOME, SmallRng::seed_from_u64(seed));
+    let mut online = Online::new(LOCAL_DOMAIN, SmallRng::seed_from_u64(seed));
     online
         .endpoints
-        .configure(declared(endpoints, SERVICE, slots, |_| HOME));
+        .configure(declared(endpoints, SERVICE, slots, |_| LOCAL_DOMAIN));
     let service = ServiceConfig {
         first_token_goal: ms(500),
         queue_limit: 40,
@@ -56,7 +56,7 @@
 
 /// What happened to one request.
 #[derive(Debug, Default, Clone)]
-struct Story {
+struct RequestHistory {
     workspace: u64,
     arrived: Duration,
     attempts: u32,
@@ -64,44 +64,44 @@
     end: Option<(Duration, Result<(), Refused>)>,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     now: Duration,
     online: Online,
-    stories: BTreeMap<u64, Story>,
+    histories: BTreeMap<u64, RequestHistory>,
     /// Ends of attempts in flight.
-    due: Vec<(Duration, u64, AttemptOutcome)>,
-    hold: Duration,
+    pending_ends: Vec<(Duration, u64, AttemptOutcome)>,
+    service_time: Duration,
     /// Endpoints that fail every request.
     broken: Vec<u64>,
     /// Share of requests that fail at any endpoint.
-    flaky: f64,
+    failure_rate: f64,
     idempotent: bool,
 }
 
-impl World {
-    fn new(seed: u64, endpoints: usize, slots: f64, hold: Duration) -> World {
-        World {
+impl Simulation {
+    fn new(seed: u64, endpoints: usize, slots: f64, service_time: Duration) -> Simulation {
+        Simulation {
             rng: SmallRng::seed_from_u64(seed),
             now: ms(1),
             online: online(seed, endpoints, slots),
-            stories: BTreeMap::new(),
-            due: Vec::new(),
-            hold,
+            histories: BTreeMap::new(),
+            pending_ends: Vec::new(),
+            service_time,
             broken: Vec::new(),
-            flaky: 0.0,
+            failure_rate: 0.0,
             idempotent: true,
         }
     }
 
     fn arrive(&mut self, workspace: u64) {
-        let request = self.stories.len() as u64 + 1;
-        let story = Story {
+        let request = self.histories.len() as u64 + 1;
+        let history = RequestHistory {
             workspace,
             arrived: self.now,
-            ..Story::default()
+            ..RequestHistory::default()
         };
-        self.stories.insert(request, story);
+        self.histories.insert(request, history);
         let arrival = arrival(request, workspace, self.now, self.idempotent);
         self.event(Event::Arrived(arrival));
     }
@@ -120,31 +120,33 @@
                 Action::Send {
                     request, endpoint, ..
                 } => {
-                    let outcome =
-                        if self.broken.contains(&endpoint) || self.rng.random_bool(self.flaky) {
-                            let reach = match self.rng.random_range(0..3) {
-                                0 => AttemptStage::NotSent,
-                                1 => AttemptStage::Refused,
-                                _ => AttemptStage::MaybeSent,
-                            };
-                            AttemptOutcome::Failed {
-                                reach,
-                                blame: true,
-                                ended: false,
-                            }
-                        } else {
-                            AttemptOutcome::Done
+                    let outcome = if self.broken.contains(&endpoint)
+                        || self.rng.random_bool(self.failure_rate)
+                    {
+                        let reach = match self.rng.random_range(0..3) {
+                            0 => AttemptStage::NotSent,
+                            1 => AttemptStage::Refused,
+                            _ => AttemptStage::MaybeSent,
                         };
-                    let story = self.stories.get_mut(&request).unwrap();
-                    assert!(story.end.is_none(), "sent after its end");
-                    story.attempts += 1;
+                        AttemptOutcome::Failed {
+                            reach,
+                            blame: true,
+                            ended: false,
+                        }
+                    } else {
+                        AttemptOutcome::Done
+                    };
+                    let history = self.histories.get_mut(&request).unwrap();
+                    assert!(history.end.is_none(), "sent after its final answer");
+                    history.attempts += 1;
                     if let AttemptOutcome::Failed { reach, .. } = outcome {
-                        story.maybe_run += u32::from(reach == AttemptStage::MaybeSent);
+                        history.maybe_run += u32::from(reach == AttemptStage::MaybeSent);
                     } else {
-                        story.maybe_run += 1;
+                        history.maybe_run += 1;
                     }
-                    let hold = self.hold.mul_f64(self.rng.random_range(0.8..1.2));
-                    self.due.push((self.now + hold, request, outcome));
+                    let service_time = self.service_time.mul_f64(self.rng.random_range(0.8..1.2));
+                    self.pending_ends
+                        .push((self.now + service_time, request, outcome));
                 }
                 Action::Refuse {
                     request,
@@ -153,9 +155,9 @@
                     retry_after,
                 } => {
                     let now = self.now;
-                    let story = self.stories.get_mut(&request).unwrap();
-                    assert!(story.end.is_none(), "two ends");
-                    story.end = Some((now, Err((kind, not_run, retry_after))));
+                    let history = self.histories.get_mut(&request).unwrap();
+                    assert!(history.end.is_none(), "request ended twice");
+                    history.end = Some((now, Err((kind, not_run, retry_after))));
                 }
             }
         }
@@ -164,13 +166,13 @@
     fn step(&mut self) {
         self.now += TICK;
         let now = self.now;
-        let (due, later) = self.due.drain(..).partition(|(at, ..)| *at <= now);
-        self.due = later;
-        let due: Vec<(Duration, u64, AttemptOutcome)> = due;
-        for (_, request, outcome) in due {
+        let (pending_ends, later) = self.pending_ends.drain(..).partition(|(at, ..)| *at <= now);
+        self.pending_ends = later;
+        let pending_ends: Vec<(Duration, u64, AttemptOutcome)> = pending_ends;
+        for (_, request, outcome) in pending_ends {
             if outcome == AttemptOutcome::Done {
                 self.event(Event::FirstToken { request });
-                self.stories.get_mut(&request).unwrap().end = Some((now, Ok(())));
+                self.histories.get_mut(&request).unwrap().end = Some((now, Ok(())));
             }
             self.event(Event::Ended { request, outcome });
         }
@@ -179,14 +181,17 @@
         self.perform(out);
     }
 
-    fn settle(&mut self) {
+    fn run_to_idle(&mut self) {
         for _ in 0..500 {
             self.step();
         }
     }
 
     fn attempts(&self) -> u32 {
-        self.stories.values().map(|story| story.attempts).sum()
+        self.histories
+            .values()
+            .map(|history| history.attempts)
+            .sum()
     }
 }
 
@@ -195,24 +200,24 @@
     // behind. "Not run" is reported exactly if no attempt may have run, however many were refused.
     // A request that may not be repeated reaches an endpoint at most once.
     fn one_true_end(seed: u64, idempotent: bool) -> bool {
-        let mut world = World::new(seed, 6, 4.0, ms(100));
-        world.idempotent = idempotent;
-        world.broken = world.online.endpoints.rows.iter().take(3).map(|row| row.id).collect();
+        let mut simulation = Simulation::new(seed, 6, 4.0, ms(100));
+        simulation.idempotent = idempotent;
+        simulation.broken = simulation.online.endpoints.rows.iter().take(3).map(|row| row.id).collect();
         for _ in 0..200 {
-            if world.rng.random_bool(0.5) {
-                let workspace = world.rng.random_range(1..3);
-                world.arrive(workspace);
+            if simulation.rng.random_bool(0.5) {
+                let workspace = simulation.rng.random_range(1..3);
+                simulation.arrive(workspace);
             }
-            world.step();
+            simulation.step();
         }
-        world.settle();
-        world.online.open_requests() == 0 && world.stories.values().all(|story| {
-            let true_end = match &story.end {
+        simulation.run_to_idle();
+        simulation.online.open_requests() == 0 && simulation.histories.values().all(|history| {
+            let true_end = match &history.end {
                 None => false,
                 Some((_, Ok(()))) => true,
-                Some((_, Err((_, not_run, _)))) => *not_run == (story.maybe_run == 0),
+                Some((_, Err((_, not_run, _)))) => *not_run == (history.maybe_run == 0),
             };
-            true_end && (idempotent || story.maybe_run <= 1)
+            true_end && (idempotent || history.maybe_run <= 1)
         })
     }
 }
@@ -221,8 +226,8 @@
 // attempts per request, since only first attempts earn retries.
 #[test]
 fn no_retry_storm() {
-    let mut world = World::new(7, 8, 50.0, ms(50));
-    world.broken = world
+    let mut simulation = Simulation::new(7, 8, 50.0, ms(50));
+    simulation.broken = simulation
         .online
         .endpoints
         .rows
@@ -231,18 +236,21 @@
         .map(|row| row.id)
         .collect();
     for _ in 0..1_000 {
-        world.arrive(1);
-        world.arrive(2);
-        world.step();
+        simulation.arrive(1);
+        simulation.arrive(2);
+        simulation.step();
     }
-    world.settle();
-    let (tries, requests) = (f64::from(world.attempts()), world.stories.len() as f64);
+    simulation.run_to_idle();
+    let (attempts, requests) = (
+        f64::from(simulation.attempts()),
+        simulation.histories.len() as f64,
+    );
     assert!(
-        tries <= requests * 1.1 + 2.0,
-        "{tries} tries of {requests} requests"
+        attempts <= requests * 1.1 + 2.0,
+        "{attempts} attempts for {requests} requests"
     );
-    let good = world
-        .stories
+    let good = simulation
+        .histories
         .values()
         .filter(|s| matches!(s.end, Some((_, Ok(())))))
         .count();
@@ -256,27 +264,27 @@
 // the retry budget limits the attempts.
 #[test]
 fn retries_bounded() {
-    let mut world = World::new(9, 8, 50.0, ms(50));
-    world.flaky = 0.3;
+    let mut simulation = Simulation::new(9, 8, 50.0, ms(50));
+    simulation.failure_rate = 0.3;
     for _ in 0..1_000 {
-        world.arrive(1);
-        world.step();
+        simulation.arrive(1);
+        simulation.step();
     }
-    world.settle();
-    let sent = world
-        .stories
+    simulation.run_to_idle();
+    let sent = simulation
+        .histories
         .values()
-        .filter(|story| story.attempts > 0)
+        .filter(|history| history.attempts > 0)
         .count() as f64;
-    let tries = f64::from(world.attempts());
+    let attempts = f64::from(simulation.attempts());
     assert!(
-        tries > sent * 1.05 && tries <= sent * 1.1 + 2.0,
-        "{tries} tries of {sent}"
+        attempts > sent * 1.05 && attempts <= sent * 1.1 + 2.0,
+        "{attempts} attempts for {sent} sent requests"
     );
 }
 
 /// The end of an attempt at an endpoint whose process has exited.
-fn gone(reach: AttemptStage) -> AttemptOutcome {
+fn process_ended(reach: AttemptStage) -> AttemptOutcome {
     AttemptOutcome::Failed {
         reach,
         blame: true,
@@ -306,12 +314,12 @@
     for _ in 0..4 {
         let sent = out.pop();
         assert!(matches!(sent, Some(Action::Send { .. })), "{sent:?}");
-        out = ended(&mut online, 1, gone(AttemptStage::NotSent));
+        out = ended(&mut online, 1, process_ended(AttemptStage::NotSent));
     }
     // An attempt that may have run counts: the second one that fails is the last.
-    out = ended(&mut online, 1, gone(AttemptStage::MaybeSent));
+    out = ended(&mut online, 1, process_ended(AttemptStage::MaybeSent));
     assert!(matches!(out.pop(), Some(Action::Send { .. })));
-    out = ended(&mut online, 1, gone(AttemptStage::MaybeSent));
+    out = ended(&mut online, 1, process_ended(AttemptStage::MaybeSent));
     assert!(matches!(out.pop(), Some(Action::Refuse { .. })));
 }
 
@@ -328,7 +336,7 @@
     }
     out.clear();
     for request in 1..=8 {
-        out = ended(&mut online, request, gone(AttemptStage::MaybeSent));
+        out = ended(&mut online, request, process_ended(AttemptStage::MaybeSent));
         assert!(matches!(out.pop(), Some(Action::Send { .. })), "{request}");
     }
 }
@@ -337,21 +345,21 @@
 // still served and waits no longer than the goal.
 #[test]
 fn flood_harmless() {
-    let mut world = World::new(3, 2, 5.0, ms(100));
+    let mut simulation = Simulation::new(3, 2, 5.0, ms(100));
     for step in 0..1_000 {
         for _ in 0..10 {
-            world.arrive(1);
+            simulation.arrive(1);
         }
         // The endpoints can handle 100 requests per second; this is 25.
         if step % 4 == 0 {
-            world.arrive(2);
+            simulation.arrive(2);
         }
-        world.step();
+        simulation.step();
     }
-    world.settle();
+    simulation.run_to_idle();
     let of = |workspace: u64| {
-        world
-            .stories
+        simulation
+            .histories
             .values()
             .filter(move |s| s.workspace == workspace)
     };
@@ -365,7 +373,7 @@
     assert!(most <= ms(620), "{most:?}");
     assert!(
         good(1).count() > 400,
-        "the flood uses what is free: {}",
+        "the flood leaves free slots unused: {} served",
         good(1).count()
     );
 }
@@ -374,29 +382,29 @@
 // held until its deadline.
 #[test]
 fn refused_at_once() {
-    let mut world = World::new(5, 1, 2.0, ms(400));
+    let mut simulation = Simulation::new(5, 1, 2.0, ms(400));
     for _ in 0..300 {
-        world.arrive(1);
-        world.step();
+        simulation.arrive(1);
+        simulation.step();
     }
-    world.settle();
+    simulation.run_to_idle();
     let mut after = Vec::new();
-    for story in world.stories.values() {
-        let Some((at, Err((_, not_run, retry_after)))) = &story.end else {
+    for history in simulation.histories.values() {
+        let Some((at, Err((_, not_run, retry_after)))) = &history.end else {
             continue;
         };
         assert!(not_run);
         assert!(
-            *at - story.arrived <= ms(510),
+            *at - history.arrived <= ms(510),
             "held for {:?}",
-            *at - story.arrived
+            *at - history.arrived
         );
-        after.push(retry_after.expect("when to come back"));
+        after.push(retry_after.expect("a retry time"));
     }
-    let at_once = world
-        .stories
+    let at_once = simulation
+        .histories
         .values()
-        .filter(|story| matches!(&story.end, Some((at, Err(_))) if *at == story.arrived));
+        .filter(|history| matches!(&history.end, Some((at, Err(_))) if *at == history.arrived));
     assert!(at_once.count() as f64 >= 0.9 * after.len() as f64);
     after.sort();
     assert!(after[after.len() - 1] > after[0].mul_f64(1.5), "{after:?}");
@@ -480,13 +488,13 @@
                 (true, true) => 0,
                 (true, false) => 1,
             };
-            let place = |r: &Endpoint| (class(r), r.declared.domain != HOME);
+            let place = |r: &Endpoint| (class(r), r.declared.domain != LOCAL_DOMAIN);
             let first = table.rows.iter().map(place).min();
-            match choose(table, HOME, ask, policy, now, &mut rng) {
+            match choose(table, LOCAL_DOMAIN, ask, policy, now, &mut rng) {
                 Err(_) => first.is_none_or(|(class, _)| class == 2),
                 Ok(chosen) => {
                     let row = table.get(chosen).unwrap();
-                    let again = choose(table, HOME, ask, policy, now, &mut rng);
+                    let again = choose(table, LOCAL_DOMAIN, ask, policy, now, &mut rng);
                     row.has_room(now)
                         && Some(place(row)) == first
                         && (policy != Policy::Affinity || again == Ok(chosen))
