--- a/src/decide/commit.rs
+++ b/src/decide/commit.rs
@@ -63,9 +63,9 @@
     }
 
     /// Handles the outcome of a write.
-    pub fn written(&mut self, answer: Answer) -> Step {
+    pub fn written(&mut self, outcome: Answer) -> Step {
         self.attempts += 1;
-        self.step = match answer {
+        self.step = match outcome {
             Answer::Won(revision) => Step::Won(revision),
             Answer::Lost => Step::Read,
             Answer::Away if self.maybe_written => Step::Read,
--- a/src/decide/discovery.rs
+++ b/src/decide/discovery.rs
@@ -174,8 +174,8 @@
     /// nothing serves: the snapshot did not list it.
     fn is_outdated(&self, id: EntryId, revision: Revision) -> bool {
         let row = self.rows.get(&id);
-        let known = row.is_some_and(|row| revision < row.revision);
-        known || revision <= self.snapshot_revision || self.ended.is_outdated(id, revision)
+        let superseded = row.is_some_and(|row| revision < row.revision);
+        superseded || revision <= self.snapshot_revision || self.ended.is_outdated(id, revision)
     }
 
     /// Whether an entry is a late update about a process that is over. A draining endpoint never
@@ -248,7 +248,8 @@
     /// keeps after a lapse is never added again. A VM that the store refuses counts its own failed
     /// calls as an outage, so it keeps an endpoint that has left as merely lapsed. If it reported
     /// that endpoint as registered, the other VMs would send requests there seconds after it
-    /// announced its departure: 4 to 9 such requests a day before this rule, none since.
+    /// announced its departure. On the days that had such requests, there were 4 to 9 of them
+    /// before this rule and none since.
     pub fn apply_snapshot(
         &mut self,
         now: Duration,
--- a/src/decide/intents.rs
+++ b/src/decide/intents.rs
@@ -22,7 +22,7 @@
 pub const PAGE_ENTRIES_MAX: usize = 256;
 /// Maximum size of the recorded answers in one page, in bytes.
 pub const PAGE_BYTES_MAX: usize = 512 * 1024;
-/// Larger answers are not recorded; their keys are.
+/// Answers larger than this, in bytes, are not recorded; their keys are.
 pub const ANSWER_BYTES: usize = 64 * 1024;
 /// After this time without a result of the write, requests that want to begin are answered with
 /// [`IntentVerdict::Away`].
@@ -227,10 +227,10 @@
     }
 
     /// Handles the result of a write.
-    pub fn written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
+    pub fn written(&mut self, now: Duration, outcome: Answer, out: &mut Vec<Action>) {
         if let Some(writing) = &mut self.writing {
             writing.in_flight = false;
-            writing.commit.written(answer);
+            writing.commit.written(outcome);
         }
         self.finish_write(now, None, out);
         self.tick(now, out);
@@ -446,14 +446,14 @@
     /// Answers all requests that want to begin: nothing can be begun now.
     fn reply_unavailable(&mut self, out: &mut Vec<Action>) {
         self.waiting.retain(|waiter| {
-            let begin = matches!(waiter.request, IntentRequest::Begin { .. });
-            if begin && !waiter.abandoned {
+            let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
+            if is_begin && !waiter.abandoned {
                 out.push(Action::Tell {
                     ticket: waiter.id,
                     verdict: IntentVerdict::Away,
                 });
             }
-            !begin
+            !is_begin
         });
     }
 
@@ -462,8 +462,8 @@
         let is_overdue = |since: Duration| now >= since + WRITE_RESULT_TIMEOUT;
         if let Some(writing) = &mut self.writing {
             for waiter in &mut writing.waiters {
-                let begin = matches!(waiter.request, IntentRequest::Begin { .. });
-                if begin && !waiter.abandoned && is_overdue(waiter.since) {
+                let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
+                if is_begin && !waiter.abandoned && is_overdue(waiter.since) {
                     waiter.abandoned = true;
                     out.push(Action::Tell {
                         ticket: waiter.id,
@@ -473,8 +473,8 @@
             }
         }
         self.waiting.retain(|waiter| {
-            let begin = matches!(waiter.request, IntentRequest::Begin { .. });
-            if begin && is_overdue(waiter.since) {
+            let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
+            if is_begin && is_overdue(waiter.since) {
                 if !waiter.abandoned {
                     out.push(Action::Tell {
                         ticket: waiter.id,
--- a/src/decide/online.rs
+++ b/src/decide/online.rs
@@ -19,7 +19,7 @@
 pub const SHARE_DEFAULT: f64 = 0.05;
 /// Shortest `Retry-After` sent with a refusal.
 pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
-/// Admit a request only if its expected wait is at most this part of the longest permitted wait.
+/// Admit a request only if its expected wait is at most this fraction of the maximum.
 /// The estimate is sometimes too short, and a request that is admitted and then dropped costs its
 /// caller more than an immediate refusal.
 const ADMITTED_WAIT_RATIO: f64 = 0.6;
@@ -590,15 +590,17 @@
     /// event every few tens of milliseconds. So silence on all connections at once, while one of
     /// the requests is past the engine's queue, distinguishes a dead engine from a busy one.
     fn give_up_silent(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let mut waits: HashMap<EndpointId, (Duration, bool)> = HashMap::new();
+        let mut attempts_by_endpoint: HashMap<EndpointId, (Duration, bool)> = HashMap::new();
         for row in self.rows.values().filter(|row| !row.given_up) {
             if let (Some(id), true) = (row.endpoint, row.attempts > 0) {
-                let (oldest, answering) = waits.entry(id).or_insert((row.sent_at, false));
+                let (oldest, answering) = attempts_by_endpoint
+                    .entry(id)
+                    .or_insert((row.sent_at, false));
                 *oldest = row.sent_at.min(*oldest);
                 *answering |= row.answering;
             }
         }
-        for (id, (oldest, answering)) in waits {
+        for (id, (oldest, answering)) in attempts_by_endpoint {
             let resumed_at = self.resumed_at;
             let Some(endpoint) = self.endpoints.get_mut(id) else {
                 continue;
@@ -628,13 +630,13 @@
     /// so an attempt without a response is given up only if the endpoint had a free slot for it.
     fn give_up_unanswered(&mut self, now: Duration, out: &mut Vec<Action>) {
         let (endpoints, resumed_at) = (&self.endpoints, self.resumed_at);
-        let waits = |row: &&mut RequestRow| row.endpoint.is_some() && row.attempts > 0;
-        for row in self.rows.values_mut().filter(waits) {
+        let is_sent = |row: &&mut RequestRow| row.endpoint.is_some() && row.attempts > 0;
+        for row in self.rows.values_mut().filter(is_sent) {
             let endpoint = row.endpoint.and_then(|id| endpoints.get(id));
-            let crowded = endpoint.is_some_and(|endpoint| endpoint.may_queue(now));
+            let may_queue = endpoint.is_some_and(|endpoint| endpoint.may_queue(now));
             let bound = match row.answering {
                 true => ANSWER_SILENCE,
-                false if crowded => continue,
+                false if may_queue => continue,
                 false => SILENCE_CROWDED,
             };
             if now >= row.last_received_at.max(resumed_at) + bound {
--- a/src/decide/routing.rs
+++ b/src/decide/routing.rs
@@ -80,25 +80,25 @@
 pub fn choose(
     table: &Endpoints,
     local_domain: DomainId,
-    ask: RouteQuery,
+    query: RouteQuery,
     policy: Policy,
     now: Duration,
     rng: &mut impl Rng,
 ) -> Result<EndpointId, NoEndpointReason> {
-    let choices = match table.counts_lag {
+    let preferences = match table.counts_lag {
         true => &LEAST_LOAD_FIRST[..],
         false => &FREE_SLOT_FIRST[..],
     };
-    for (test, local) in choices {
+    for (test, local) in preferences {
         let fits = |row: &Endpoint| {
             let is_local = (row.declared.domain == local_domain) == *local;
-            is_local && row.usable(now) && test(row, now) && ask.avoid != Some(row.id)
+            is_local && row.usable(now) && test(row, now) && query.avoid != Some(row.id)
         };
-        if let Some(found) = best(table, ask, policy, now, rng, fits) {
+        if let Some(found) = best(table, query, policy, now, rng, fits) {
             return Ok(found);
         }
     }
-    let rows = table.of_service(ask.service).iter();
+    let rows = table.of_service(query.service).iter();
     let usable = rows
         .map(|at| &table.rows[*at])
         .filter(|row| row.usable(now));
@@ -114,25 +114,25 @@
 
 fn best(
     table: &Endpoints,
-    ask: RouteQuery,
+    query: RouteQuery,
     policy: Policy,
     now: Duration,
     rng: &mut impl Rng,
     fits: impl Fn(&Endpoint) -> bool,
 ) -> Option<EndpointId> {
-    let rows = table.of_service(ask.service);
+    let rows = table.of_service(query.service);
     let all = || rows.iter().map(|at| &table.rows[*at]);
     let candidates = || all().filter(|row| fits(row));
     let by_load = |a: &f64, b: &f64| a.total_cmp(b);
     match policy {
-        Policy::Affinity if ask.prefix != 0 => {
+        Policy::Affinity if query.prefix != 0 => {
             let (online, slots) = candidates().fold((1.0, 0.0), |(online, slots), row| {
                 (online + f64::from(row.online()), slots + row.slots(now))
             });
             let bound = LOAD_BOUND * online / slots;
             candidates()
                 .filter(|row| f64::from(row.online()) <= (bound * row.slots(now)).ceil())
-                .max_by_key(|row| weight(ask.prefix, row.id))
+                .max_by_key(|row| weight(query.prefix, row.id))
                 .map(|row| row.id)
         }
         Policy::LeastLoad => candidates()
--- a/tests/item_turns.rs
+++ b/tests/item_turns.rs
@@ -21,7 +21,7 @@
 const PLAN_MS: u64 = 50;
 /// Interval between two reports of each VM to the others.
 const REPORT_MS: u64 = 100;
-const RUN: Duration = Duration::from_millis(3000);
+const RUN_TIME: Duration = Duration::from_millis(3000);
 
 struct Vm {
     id: u64,
@@ -35,7 +35,7 @@
         let mut items = Items::default();
         for item in 0..10 {
             let job = format!("job-{id}").as_str().into();
-            items.add(Duration::ZERO, ItemKey { job, item }, SERVICE, RUN * 6);
+            items.add(Duration::ZERO, ItemKey { job, item }, SERVICE, RUN_TIME * 6);
         }
         let (usage, running) = (Usage::default(), HashMap::new());
         Vm {
@@ -87,7 +87,7 @@
             let ended: Vec<ItemKey> = vm
                 .running
                 .iter()
-                .filter(|(_, at)| now >= **at + RUN)
+                .filter(|(_, at)| now >= **at + RUN_TIME)
                 .map(|(key, _)| key.clone())
                 .collect();
             for key in ended {
@@ -235,7 +235,7 @@
             job: "job".into(),
             item,
         };
-        items.add(Duration::ZERO, key, SERVICE, RUN * 6);
+        items.add(Duration::ZERO, key, SERVICE, RUN_TIME * 6);
     }
     let own = ItemPlanner {
         vm: 1,
