--- a/src/decide/intents.rs
+++ b/src/decide/intents.rs
@@ -1,9 +1,10 @@
-//! At most once: what was started under which key, and how it ended.
+//! At-most-once execution: records which idempotency keys were started and how they ended.
 //!
-//! Keys fall into ranges. Each range is a log of pages in the key-value service, one key a page,
-//! created only: whoever creates page `n` has read all pages before it, so of two writers that begin
-//! the same key the one whose page comes second sees the first one's page and does not begin.
-//! One write holds all that came in since the last one.
+//! Keys are partitioned into ranges. Each range is a log of pages in the key-value store, one store
+//! key per page, and pages are only ever created. A writer has read all earlier pages before it
+//! creates page `n`. If two writers begin the same key, the one whose page comes second therefore
+//! sees the first one's page and does not begin. One write carries all requests collected since the
+//! last write.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,23 +14,24 @@
 use super::commit::{Answer, Commit, Step};
 use crate::id::{self, Nonce, Revision};
 
-/// Number of ranges; part of the stored format.
+/// Number of ranges; part of the storage format.
 pub const RANGES: u64 = 4;
-/// Least time between two writes of one range.
-pub const GATHER: Duration = Duration::from_millis(50);
-/// Entries in one page.
-pub const PAGE_ENTRIES: usize = 256;
-/// Bytes of recorded answers in one page.
-pub const PAGE_BYTES: usize = 512 * 1024;
-/// An answer larger than this is not kept; its key is.
+/// Shortest interval between two writes of one range.
+pub const WRITE_INTERVAL_MIN: Duration = Duration::from_millis(50);
+/// Maximum number of entries in one page.
+pub const PAGE_ENTRIES_MAX: usize = 256;
+/// Maximum size of the recorded answers in one page, in bytes.
+pub const PAGE_BYTES_MAX: usize = 512 * 1024;
+/// Answers larger than this, in bytes, are not recorded; their keys are.
 pub const ANSWER_BYTES: usize = 64 * 1024;
-/// Time after which a page's write is given up for those who wait on it.
-pub const WRITE_PATIENCE: Duration = Duration::from_millis(1500);
-const PAUSE: Duration = Duration::from_millis(40);
+/// After this time without a result of the write, requests that want to begin are answered with
+/// [`IntentVerdict::Away`].
+pub const WRITE_RESULT_TIMEOUT: Duration = Duration::from_millis(1500);
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Digest of workspace, service and the caller's key.
+/// Digest of the workspace, the service and the caller's idempotency key.
 pub type IntentKey = String;
-/// Somebody who waits for a verdict.
+/// Identifies a waiter for a verdict.
 pub type WaiterId = u64;
 
 /// How a started request ended.
@@ -37,20 +39,20 @@
 pub struct RecordedAnswer {
     pub status: u16,
     pub content_type: String,
-    /// `None` when it was too large to keep.
+    /// `None` if it was too large to record.
     pub body: Option<String>,
 }
 
-/// One step in the life of a key.
+/// One recorded state change of a key.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum IntentRecord {
-    /// Written before the first byte goes out.
+    /// Written before the first byte is sent to the endpoint.
     Begun {
         content: String,
     },
     Answered(RecordedAnswer),
-    /// It was begun, but no byte went out.
+    /// It was begun, but no byte was sent.
     Released,
 }
 
@@ -62,31 +64,31 @@
     pub entries: Vec<(IntentKey, IntentRecord)>,
 }
 
-/// What a caller of this module asks.
+/// A request to this module.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum IntentRequest {
-    /// May the request under this key go out? `content` is a digest of the request.
+    /// May the request with this key be sent? `content` is a digest of the request.
     Begin { content: String },
-    /// Record how it ended.
+    /// Record how the request ended.
     End(IntentRecord),
 }
 
-/// The answer to an [`IntentRequest`].
+/// The reply to an [`IntentRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum IntentVerdict {
-    /// It is recorded: go.
+    /// The record is written: the request may be sent.
     Go,
     /// It ran before, with this answer.
     Replay(RecordedAnswer),
     /// It was begun before, and no end is recorded.
     Begun,
-    /// The key was used for another request.
+    /// The key was used for a different request.
     Mismatch,
-    /// The platform is away; nothing may go out.
+    /// The platform is unavailable; nothing may be sent.
     Away,
 }
 
-/// What the host is to do for a range.
+/// What the host must do for a range.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Read all pages from this one on.
@@ -107,25 +109,25 @@
 }
 
 #[derive(Debug, Clone)]
-struct Waiting {
-    ticket: WaiterId,
+struct Waiter {
+    id: WaiterId,
     key: IntentKey,
-    ask: IntentRequest,
+    request: IntentRequest,
     since: Duration,
-    /// The asker was told that the platform is away.
+    /// The waiter has already been told that the platform is unavailable.
     abandoned: bool,
 }
 
 #[derive(Debug)]
-struct Writing {
+struct PageWrite {
     page: IntentPage,
-    asks: Vec<Waiting>,
+    waiters: Vec<Waiter>,
     commit: Commit,
-    asked: bool,
+    in_flight: bool,
     not_before: Duration,
 }
 
-/// One range, as one VM sees it.
+/// One range, as seen by one VM.
 #[derive(Debug)]
 pub struct Range {
     /// Invariant: all pages below `next_slot` are in `index`.
@@ -134,29 +136,29 @@
     listing: bool,
     list_at: Duration,
     index: HashMap<IntentKey, IntentRecord>,
-    waiting: Vec<Waiting>,
-    writing: Option<Writing>,
-    wrote_at: Option<Duration>,
+    waiting: Vec<Waiter>,
+    writing: Option<PageWrite>,
+    last_write_at: Option<Duration>,
     nonce: Nonce,
 }
 
-/// The range that a key falls into.
+/// The range of a key.
 pub fn range_of(key: &str) -> u64 {
     id::of(key) % RANGES
 }
 
-/// Prefix of the pages of a range.
+/// Store prefix of the pages of a range.
 pub fn range_prefix(range: u64) -> String {
     format!("intent/{range}/")
 }
 
-/// Key of a page; sorts by slot.
+/// Store key of a page; sorts by slot.
 pub fn page_key(range: u64, slot: u64) -> String {
     format!("intent/{range}/{slot:012}")
 }
 
 impl Range {
-    /// A range of which nothing is known; `nonce` must be random.
+    /// An empty range that is not loaded yet; `nonce` must be random.
     pub fn new(nonce: Nonce) -> Range {
         Range {
             next_slot: 0,
@@ -166,12 +168,12 @@
             index: HashMap::new(),
             waiting: Vec::new(),
             writing: None,
-            wrote_at: None,
+            last_write_at: None,
             nonce,
         }
     }
 
-    /// Keys that are known.
+    /// Number of known keys.
     pub fn len(&self) -> usize {
         self.index.len()
     }
@@ -181,26 +183,26 @@
         self.index.is_empty()
     }
 
-    /// Takes a question.
+    /// Handles a request.
     pub fn ask(
         &mut self,
         now: Duration,
-        ticket: WaiterId,
+        waiter: WaiterId,
         key: IntentKey,
-        ask: IntentRequest,
+        request: IntentRequest,
         out: &mut Vec<Action>,
     ) {
-        self.waiting.push(Waiting {
-            ticket,
+        self.waiting.push(Waiter {
+            id: waiter,
             key,
-            ask,
+            request,
             since: now,
             abandoned: false,
         });
         self.tick(now, out);
     }
 
-    /// Takes the pages from a list; `None` when it failed.
+    /// Handles the result of a list; `None` if it failed.
     pub fn listed(
         &mut self,
         now: Duration,
@@ -217,24 +219,24 @@
                 self.loaded = true;
             }
             None => {
-                self.list_at = now + PAUSE * 5;
-                self.tell_away(out);
+                self.list_at = now + RETRY_INTERVAL * 5;
+                self.reply_unavailable(out);
             }
         }
         self.tick(now, out);
     }
 
-    /// Takes the answer to a write.
-    pub fn written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
+    /// Handles the result of a write.
+    pub fn written(&mut self, now: Duration, outcome: Answer, out: &mut Vec<Action>) {
         if let Some(writing) = &mut self.writing {
-            writing.asked = false;
-            writing.commit.written(answer);
+            writing.in_flight = false;
+            writing.commit.written(outcome);
         }
-        self.settle(now, None, out);
+        self.finish_write(now, None, out);
         self.tick(now, out);
     }
 
-    /// Takes a read of the slot being written; `None` when it failed.
+    /// Handles a read of the slot being written; `None` if it failed.
     pub fn read(
         &mut self,
         now: Duration,
@@ -249,14 +251,14 @@
             page.as_ref()
                 .map(|(revision, page)| (*revision, page.nonce == nonce))
         });
-        writing.asked = false;
+        writing.in_flight = false;
         writing.commit.read(seen);
-        let standing = found.flatten().map(|(_, page)| page);
-        self.settle(now, standing, out);
+        let stored = found.flatten().map(|(_, page)| page);
+        self.finish_write(now, stored, out);
         self.tick(now, out);
     }
 
-    /// Does what has become due.
+    /// Performs what is due.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
         if !self.loaded {
             if !self.listing && now >= self.list_at && !self.waiting.is_empty() {
@@ -267,10 +269,12 @@
             }
             return;
         }
-        self.abandon_late(now, out);
-        self.answer_known(out);
+        self.abandon_overdue(now, out);
+        self.reply_from_index(out);
         if self.writing.is_none() && !self.waiting.is_empty() {
-            let due = self.wrote_at.is_none_or(|at| now >= at + GATHER);
+            let due = self
+                .last_write_at
+                .is_none_or(|at| now >= at + WRITE_INTERVAL_MIN);
             if due {
                 self.start_write(now);
             }
@@ -283,26 +287,26 @@
             return;
         }
         self.next_slot = slot + 1;
-        for (key, mark) in &page.entries {
-            match mark {
+        for (key, record) in &page.entries {
+            match record {
                 IntentRecord::Released => {
                     self.index.remove(key);
                 }
-                mark => {
-                    self.index.insert(key.clone(), mark.clone());
+                record => {
+                    self.index.insert(key.clone(), record.clone());
                 }
             }
         }
     }
 
-    /// Answers what the log already tells.
-    fn answer_known(&mut self, out: &mut Vec<Action>) {
+    /// Answers requests whose verdict is already in the log.
+    fn reply_from_index(&mut self, out: &mut Vec<Action>) {
         let index = &self.index;
-        self.waiting.retain(|waiting| {
-            let IntentRequest::Begin { content } = &waiting.ask else {
+        self.waiting.retain(|waiter| {
+            let IntentRequest::Begin { content } = &waiter.request else {
                 return true;
             };
-            let verdict = match index.get(&waiting.key) {
+            let verdict = match index.get(&waiter.key) {
                 None | Some(IntentRecord::Released) => return true,
                 Some(IntentRecord::Answered(answered)) => IntentVerdict::Replay(answered.clone()),
                 Some(IntentRecord::Begun { content: first }) if first != content => {
@@ -310,9 +314,9 @@
                 }
                 Some(IntentRecord::Begun { .. }) => IntentVerdict::Begun,
             };
-            if !waiting.abandoned {
+            if !waiter.abandoned {
                 out.push(Action::Tell {
-                    ticket: waiting.ticket,
+                    ticket: waiter.id,
                     verdict,
                 });
             }
@@ -322,25 +326,29 @@
 
     fn start_write(&mut self, now: Duration) {
         let mut entries: Vec<(IntentKey, IntentRecord)> = Vec::new();
-        let mut asks = Vec::new();
+        let mut waiters = Vec::new();
         let mut later = Vec::new();
         let mut bytes = 0;
-        for waiting in std::mem::take(&mut self.waiting) {
-            let mark = match &waiting.ask {
+        for waiter in std::mem::take(&mut self.waiting) {
+            let record = match &waiter.request {
                 IntentRequest::Begin { content } => IntentRecord::Begun {
                     content: content.clone(),
                 },
-                IntentRequest::End(mark) => mark.clone(),
+                IntentRequest::End(record) => record.clone(),
             };
-            bytes += mark_bytes(&mark);
-            let taken = entries.iter().any(|(key, _)| *key == waiting.key);
-            // The second of one key waits for the next page, where the first is known.
-            if taken || entries.len() >= PAGE_ENTRIES || (bytes > PAGE_BYTES && !asks.is_empty()) {
-                later.push(waiting);
+            bytes += record_bytes(&record);
+            let key_in_page = entries.iter().any(|(key, _)| *key == waiter.key);
+            // A second request for the same key waits for the next page, when the first one is
+            // known.
+            if key_in_page
+                || entries.len() >= PAGE_ENTRIES_MAX
+                || (bytes > PAGE_BYTES_MAX && !waiters.is_empty())
+            {
+                later.push(waiter);
                 continue;
             }
-            entries.push((waiting.key.clone(), mark));
-            asks.push(waiting);
+            entries.push((waiter.key.clone(), record));
+            waiters.push(waiter);
         }
         self.waiting = later;
         self.nonce = self.nonce.wrapping_add(1);
@@ -350,11 +358,11 @@
             entries,
         };
         let commit = Commit::new(0);
-        self.writing = Some(Writing {
+        self.writing = Some(PageWrite {
             page,
-            asks,
+            waiters,
             commit,
-            asked: false,
+            in_flight: false,
             not_before: now,
         });
     }
@@ -364,7 +372,7 @@
         let Some(writing) = &mut self.writing else {
             return;
         };
-        if writing.asked || now < writing.not_before {
+        if writing.in_flight || now < writing.not_before {
             return;
         }
         match writing.commit.step() {
@@ -375,100 +383,101 @@
             Step::Read => out.push(Action::Read { slot }),
             _ => return,
         }
-        writing.asked = true;
+        writing.in_flight = true;
     }
 
-    fn settle(&mut self, now: Duration, standing: Option<IntentPage>, out: &mut Vec<Action>) {
+    fn finish_write(&mut self, now: Duration, stored: Option<IntentPage>, out: &mut Vec<Action>) {
         let Some(mut writing) = self.writing.take() else {
             return;
         };
         match writing.commit.step() {
             Step::Write | Step::Read => {
-                writing.not_before = now + writing.commit.pause(PAUSE);
+                writing.not_before = now + writing.commit.pause(RETRY_INTERVAL);
                 self.writing = Some(writing);
             }
             Step::Won(_) => {
-                self.wrote_at = Some(now);
+                self.last_write_at = Some(now);
                 self.apply(self.next_slot, &writing.page);
-                for waiting in writing.asks {
-                    self.tell_written(now, waiting, out);
+                for waiter in writing.waiters {
+                    self.reply_written(now, waiter, out);
                 }
             }
             Step::Lost => {
-                // Another VM's page has this slot: learn it, and try the next slot.
-                if let Some(page) = standing {
+                // Another VM's page has this slot: apply it and try the next slot.
+                if let Some(page) = stored {
                     self.apply(self.next_slot, &page);
                 }
-                self.take_back(writing.asks);
-                self.wrote_at = None;
+                self.requeue(writing.waiters);
+                self.last_write_at = None;
             }
             Step::Away => {
-                self.take_back(writing.asks);
-                self.wrote_at = Some(now + PAUSE * 5);
-                self.tell_away(out);
+                self.requeue(writing.waiters);
+                self.last_write_at = Some(now + RETRY_INTERVAL * 5);
+                self.reply_unavailable(out);
             }
         }
     }
 
-    /// Puts the asks of a page that did not take effect before the others again.
-    fn take_back(&mut self, mut asks: Vec<Waiting>) {
-        asks.retain(|waiting| !waiting.abandoned);
-        asks.append(&mut self.waiting);
-        self.waiting = asks;
+    /// Puts the requests of a page that was not written back at the front of the queue.
+    fn requeue(&mut self, mut waiters: Vec<Waiter>) {
+        waiters.retain(|waiter| !waiter.abandoned);
+        waiters.append(&mut self.waiting);
+        self.waiting = waiters;
     }
 
-    fn tell_written(&mut self, now: Duration, waiting: Waiting, out: &mut Vec<Action>) {
-        if !waiting.abandoned {
+    fn reply_written(&mut self, now: Duration, waiter: Waiter, out: &mut Vec<Action>) {
+        if !waiter.abandoned {
             out.push(Action::Tell {
-                ticket: waiting.ticket,
+                ticket: waiter.id,
                 verdict: IntentVerdict::Go,
             });
-        } else if matches!(waiting.ask, IntentRequest::Begin { .. }) {
-            // The asker was told "not run" while the write was in doubt, and it took effect after
-            // all. Without this the key would say for ever that it may have run.
-            self.waiting.push(Waiting {
-                ask: IntentRequest::End(IntentRecord::Released),
+        } else if matches!(waiter.request, IntentRequest::Begin { .. }) {
+            // The waiter was answered "not run" while the result of the write was unknown, and the
+            // write took effect after all. Unless the key is released, it would stay "may have run"
+            // for ever.
+            self.waiting.push(Waiter {
+                request: IntentRequest::End(IntentRecord::Released),
                 since: now,
-                ..waiting
+                ..waiter
             });
         }
     }
 
-    /// Tells all who want to begin that nothing can be begun.
-    fn tell_away(&mut self, out: &mut Vec<Action>) {
-        self.waiting.retain(|waiting| {
-            let begin = matches!(waiting.ask, IntentRequest::Begin { .. });
-            if begin && !waiting.abandoned {
+    /// Answers all requests that want to begin: nothing can be begun now.
+    fn reply_unavailable(&mut self, out: &mut Vec<Action>) {
+        self.waiting.retain(|waiter| {
+            let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
+            if is_begin && !waiter.abandoned {
                 out.push(Action::Tell {
-                    ticket: waiting.ticket,
+                    ticket: waiter.id,
                     verdict: IntentVerdict::Away,
                 });
             }
-            !begin
+            !is_begin
         });
     }
 
-    /// Lets nobody wait long on a write in doubt: no byte went out, so "not run" is true.
-    fn abandon_late(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let late = |since: Duration| now >= since + WRITE_PATIENCE;
+    /// Limits the wait for a write whose result is unknown: no byte was sent, so "not run" is true.
+    fn abandon_overdue(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let is_overdue = |since: Duration| now >= since + WRITE_RESULT_TIMEOUT;
         if let Some(writing) = &mut self.writing {
-            for waiting in &mut writing.asks {
-                let begin = matches!(waiting.ask, IntentRequest::Begin { .. });
-                if begin && !waiting.abandoned && late(waiting.since) {
-                    waiting.abandoned = true;
+            for waiter in &mut writing.waiters {
+                let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
+                if is_begin && !waiter.abandoned && is_overdue(waiter.since) {
+                    waiter.abandoned = true;
                     out.push(Action::Tell {
-                        ticket: waiting.ticket,
+                        ticket: waiter.id,
                         verdict: IntentVerdict::Away,
                     });
                 }
             }
         }
-        self.waiting.retain(|waiting| {
-            let begin = matches!(waiting.ask, IntentRequest::Begin { .. });
-            if begin && late(waiting.since) {
-                if !waiting.abandoned {
+        self.waiting.retain(|waiter| {
+            let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
+            if is_begin && is_overdue(waiter.since) {
+                if !waiter.abandoned {
                     out.push(Action::Tell {
-                        ticket: waiting.ticket,
+                        ticket: waiter.id,
                         verdict: IntentVerdict::Away,
                     });
                 }
@@ -479,8 +488,8 @@
     }
 }
 
-fn mark_bytes(mark: &IntentRecord) -> usize {
-    match mark {
+fn record_bytes(record: &IntentRecord) -> usize {
+    match record {
         IntentRecord::Answered(answered) => answered.body.as_ref().map_or(0, String::len) + 64,
         _ => 128,
     }
--- a/src/decide/online.rs
+++ b/src/decide/online.rs
@@ -1,6 +1,7 @@
-//! Online requests: admission, queueing, routing, retries.
+//! Online requests: admission, queueing, routing and retries.
 //!
-//! One table of requests. Each event and each tick may bring actions for any of them.
+//! A single state machine holds all requests. Each event and each tick may return actions for any
+//! of them.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -10,41 +11,44 @@
 
 use super::endpoints::Endpoints;
 use super::refusal::RefusalKind;
-use super::retry::{self, AttemptStage, Budget};
+use super::retry::{self, AttemptStage, RetryBudget};
 use super::routing::{self, NoEndpointReason, Policy, RouteQuery};
 use crate::id::{DomainId, EndpointId, RequestId, ServiceId, WorkspaceId};
 
-/// Share of a workspace that no share is declared for.
+/// Share of a workspace that has no share in the configuration.
 pub const SHARE_DEFAULT: f64 = 0.05;
-/// Shortest time after which a refused caller is told to come back.
+/// Shortest `Retry-After` sent with a refusal.
 pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
-/// Part of the longest wait up to which a request is taken in. Estimates are sometimes too short,
-/// and a request that is taken in and given up later costs its caller more than a refusal at once.
-const ADMIT: f64 = 0.6;
-/// An endpoint that sends nothing on any connection for so long is out of use: many times the pause
-/// between two events, and short beside the seconds that a caller would wait for its deadline.
+/// Admit a request only if its expected wait is at most this fraction of the maximum.
+/// The estimate is sometimes too short, and a request that is admitted and then dropped costs its
+/// caller more than an immediate refusal.
+const ADMITTED_WAIT_RATIO: f64 = 0.6;
+/// An endpoint that sends nothing on any connection for this long is ejected: many times the
+/// interval between two events, and short compared with the seconds until a caller's deadline.
 pub const SILENCE: Duration = Duration::from_millis(400);
-/// The same while all its slots are taken and this VM's requests may stand in its queue.
+/// The same while all slots of the endpoint are taken and requests of this VM may be in its queue.
 pub const SILENCE_CROWDED: Duration = Duration::from_millis(1500);
-/// An answer that has begun and brings nothing for so long is given up, whatever else its endpoint sends: events come each
-/// few tens of milliseconds, and a stream with a pause of a second is late already.
+/// A response that has begun and then sends nothing for this long is given up, even if its endpoint
+/// sends on other connections. Events come every few tens of milliseconds, so a stream that pauses
+/// for a second is late already.
 pub const ANSWER_SILENCE: Duration = Duration::from_secs(1);
-/// Ticks this far apart mean that this process itself was paused.
-const PAUSE_SEEN: Duration = Duration::from_millis(250);
-/// Dead endpoints that one request may meet beside its attempts, a millisecond each; by then this VM knows them all.
-const TURNED_AWAY_MAX: u32 = 8;
-/// Priorities beyond this one weigh as much as it.
+/// Two ticks further apart than this mean that this process itself was paused.
+const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(250);
+/// Attempts refused by dead endpoints that one request may have on top of its regular attempts.
+/// Each takes about a millisecond, and after this many the VM has ejected all dead endpoints.
+const REFUSED_ATTEMPTS_MAX: u32 = 8;
+/// Higher priority numbers are treated as this one.
 const PRIORITY_MAX: u32 = 8;
-/// Weight of the newest service time in the moving average.
-const AVERAGE_NEW: f64 = 0.1;
+/// Weight of the newest sample in the moving average of slot times.
+const SLOT_TIME_WEIGHT: f64 = 0.1;
 
-/// What the configuration says of one service.
+/// Configuration of one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServiceConfig {
     pub first_token_goal: Duration,
-    /// Requests that may wait; shared out like the slots.
+    /// Maximum number of queued requests; divided among workspaces by their shares.
     pub queue_limit: usize,
-    /// Requests in flight of this VM.
+    /// Maximum number of requests in flight from this VM.
     pub max_in_flight: usize,
     pub learn: bool,
     pub shares: HashMap<WorkspaceId, f64>,
@@ -59,35 +63,35 @@
     pub priority: u32,
     pub service: ServiceId,
     pub prefix: u64,
-    /// Monotonic.
+    /// Monotonic time.
     pub deadline: Duration,
     pub idempotent: bool,
-    /// An answer that broke off can go on at another endpoint after the last event that came.
+    /// A response that broke off can be resumed at another endpoint after the last event received.
     pub resumable: bool,
-    /// Endpoints that it may be sent to in all.
+    /// Maximum number of attempts, the first included.
     pub attempts_max: u32,
 }
 
-/// How a try ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptOutcome {
     Done,
     Failed {
         reach: AttemptStage,
-        /// The endpoint is to blame; a refusal of the request itself is not its fault.
+        /// The endpoint caused the failure; refusing an invalid request is not an endpoint fault.
         blame: bool,
-        /// The endpoint's process is gone.
+        /// The endpoint's process has exited.
         ended: bool,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     Abandoned,
 }
 
-/// What happens to requests.
+/// Something that happened to a request.
 #[derive(Debug, Clone)]
 pub enum Event {
     Arrived(Arrival),
-    /// The first byte of the answer came.
+    /// The first byte of the response was received.
     FirstToken {
         request: RequestId,
     },
@@ -97,7 +101,7 @@
     },
 }
 
-/// What the host is to do.
+/// What the host must do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the request; `attempt` starts at 1.
@@ -106,9 +110,10 @@
         endpoint: EndpointId,
         attempt: u32,
     },
-    /// Close the connection to the endpoint and report the try as failed: nothing comes any more.
+    /// Close the connection to the endpoint and report the attempt as failed: nothing is received
+    /// on it any more.
     GiveUp { request: RequestId },
-    /// Give the final answer now.
+    /// Send the final response, a refusal, now.
     Refuse {
         request: RequestId,
         kind: RefusalKind,
@@ -118,37 +123,37 @@
 }
 
 #[derive(Debug, Clone)]
-struct Row {
+struct RequestRow {
     arrival: Arrival,
     arrived_at: Duration,
     sent_at: Duration,
-    /// When this try was sent, or something of its answer last came.
-    heard_at: Duration,
+    /// When this attempt was sent, or when data of its response was last received.
+    last_received_at: Duration,
     endpoint: Option<EndpointId>,
     attempts: u32,
-    /// Attempts that met a dead endpoint's host, which count for nothing.
-    turned_away: u32,
-    /// Whether any try may have run.
+    /// Attempts refused by the host of a dead endpoint; they do not count as attempts.
+    refused_attempts: u32,
+    /// Whether any attempt may have run.
     may_have_run: bool,
-    /// Something of the answer has come from the endpoint of this try.
+    /// Data of the response has been received in this attempt.
     answering: bool,
-    /// The host was told to give this try up.
+    /// The host was told to give up this attempt.
     given_up: bool,
 }
 
-impl Row {
+impl RequestRow {
     fn has_attempts_left(&self) -> bool {
-        let turned_away = self.turned_away.min(TURNED_AWAY_MAX);
-        self.attempts < self.arrival.attempts_max + turned_away
+        let refused_attempts = self.refused_attempts.min(REFUSED_ATTEMPTS_MAX);
+        self.attempts < self.arrival.attempts_max + refused_attempts
     }
 
-    /// Gives this try up where another one may follow.
+    /// Gives up this attempt if another one may follow.
     fn give_up(&mut self, out: &mut Vec<Action>) {
-        let again = match self.answering {
+        let may_retry = match self.answering {
             true => self.arrival.resumable,
             false => self.arrival.idempotent,
         };
-        if again && !self.given_up && self.has_attempts_left() {
+        if may_retry && !self.given_up && self.has_attempts_left() {
             self.given_up = true;
             out.push(Action::GiveUp {
                 request: self.arrival.request,
@@ -158,16 +163,16 @@
 }
 
 #[derive(Debug, Default, Clone)]
-struct Lane {
+struct ServiceState {
     in_flight: usize,
-    by_workspace: HashMap<WorkspaceId, usize>,
+    in_flight_by_workspace: HashMap<WorkspaceId, usize>,
     queues: HashMap<WorkspaceId, VecDeque<RequestId>>,
     queued: usize,
-    /// Moving average of the time that a request holds a slot, in seconds.
-    hold_s: f64,
+    /// Moving average of the time for which a request holds a slot, in seconds.
+    slot_time_s: f64,
 }
 
-/// What waits and why, for the operators.
+/// Queue of one service, for operators.
 #[derive(Debug, Clone, PartialEq, serde::Serialize)]
 pub struct ServiceQueue {
     pub service: ServiceId,
@@ -176,63 +181,64 @@
     pub expected_wait_ms: u64,
 }
 
-/// The state of online work at one VM.
+/// State of online requests on one VM.
 #[derive(Debug)]
 pub struct Online {
     pub endpoints: Endpoints,
     pub services: HashMap<ServiceId, ServiceConfig>,
     pub policy: Policy,
-    /// Whether the host tells [`super::endpoints::Endpoint::last_received_at`] and can act on
+    /// Whether the host updates [`super::endpoints::Endpoint::last_received_at`] and can perform
     /// [`Action::GiveUp`].
     pub watch_silence: bool,
-    home: DomainId,
-    rows: HashMap<RequestId, Row>,
-    lanes: HashMap<ServiceId, Lane>,
-    budget: Budget,
+    local_domain: DomainId,
+    rows: HashMap<RequestId, RequestRow>,
+    service_states: HashMap<ServiceId, ServiceState>,
+    budget: RetryBudget,
     ticked_at: Duration,
-    /// When this process last ran on after a pause of its own; silence before that proves nothing.
-    awake_since: Duration,
+    /// When this process last resumed after a pause of its own. Silence before that time is not
+    /// evidence against an endpoint.
+    resumed_at: Duration,
     rng: SmallRng,
 }
 
 impl Online {
-    /// An empty state for a VM of the failure domain `home`.
-    pub fn new(home: DomainId, rng: SmallRng) -> Online {
+    /// An empty state for a VM in the failure domain `local_domain`.
+    pub fn new(local_domain: DomainId, rng: SmallRng) -> Online {
         Online {
             endpoints: Endpoints::default(),
             services: HashMap::new(),
             policy: Policy::Affinity,
             watch_silence: false,
-            home,
+            local_domain,
             rows: HashMap::new(),
-            lanes: HashMap::new(),
-            budget: Budget::default(),
+            service_states: HashMap::new(),
+            budget: RetryBudget::default(),
             ticked_at: Duration::ZERO,
-            awake_since: Duration::ZERO,
+            resumed_at: Duration::ZERO,
             rng,
         }
     }
 
-    /// Takes one event.
+    /// Handles one event.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::Arrived(arrival) => self.arrived(now, arrival, out),
-            Event::FirstToken { request } => self.first_token(now, request),
-            Event::Ended { request, outcome } => self.ended(now, request, outcome, out),
+            Event::Arrived(arrival) => self.handle_arrival(now, arrival, out),
+            Event::FirstToken { request } => self.handle_first_token(now, request),
+            Event::Ended { request, outcome } => self.handle_end(now, request, outcome, out),
         }
     }
 
-    /// Something of a request's answer has come.
+    /// Records that data of a request's response was received.
     pub fn note_response(&mut self, now: Duration, request: RequestId) {
         if let Some(row) = self.rows.get_mut(&request) {
-            row.heard_at = now;
+            row.last_received_at = now;
         }
     }
 
-    /// Sends what has room by now and gives up what cannot come in time.
+    /// Sends queued requests that have room now and drops those that can't be served in time.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Action>) {
-        if now > self.ticked_at + PAUSE_SEEN {
-            self.awake_since = now;
+        if now > self.ticked_at + PROCESS_PAUSE_MIN {
+            self.resumed_at = now;
         }
         self.ticked_at = now;
         self.endpoints.eject_slow(now);
@@ -240,38 +246,38 @@
             self.give_up_silent(now, out);
             self.give_up_unanswered(now, out);
         }
-        let services: Vec<ServiceId> = self.lanes.keys().copied().collect();
+        let services: Vec<ServiceId> = self.service_states.keys().copied().collect();
         for service in services {
             self.expire(now, service, out);
-            self.drain(now, service, out);
+            self.dispatch(now, service, out);
         }
     }
 
-    /// Requests in hand.
+    /// Number of requests that are queued or in flight.
     pub fn open_requests(&self) -> usize {
         self.rows.len()
     }
 
-    /// The state of each service's queue.
+    /// State of each service's queue.
     pub fn waiting(&self, now: Duration) -> Vec<ServiceQueue> {
-        let of = |(service, lane): (&ServiceId, &Lane)| ServiceQueue {
+        let queue_of = |(service, state): (&ServiceId, &ServiceState)| ServiceQueue {
             service: *service,
-            in_flight: lane.in_flight,
-            queued: lane.queued,
-            expected_wait_ms: self.expected_wait(now, *service, lane.queued).as_millis() as u64,
+            in_flight: state.in_flight,
+            queued: state.queued,
+            expected_wait_ms: self.expected_wait(now, *service, state.queued).as_millis() as u64,
         };
-        self.lanes.iter().map(of).collect()
+        self.service_states.iter().map(queue_of).collect()
     }
 
-    fn arrived(&mut self, now: Duration, arrival: Arrival, out: &mut Vec<Action>) {
+    fn handle_arrival(&mut self, now: Duration, arrival: Arrival, out: &mut Vec<Action>) {
         let request = arrival.request;
-        let row = Row {
+        let row = RequestRow {
             arrived_at: now,
             sent_at: now,
-            heard_at: now,
+            last_received_at: now,
             endpoint: None,
             attempts: 0,
-            turned_away: 0,
+            refused_attempts: 0,
             may_have_run: false,
             answering: false,
             given_up: false,
@@ -282,44 +288,49 @@
             return;
         };
         let (queue_limit, max_in_flight) = (service.queue_limit, service.max_in_flight);
-        let lane = self.lanes.entry(row.arrival.service).or_default();
-        let free = lane.queued == 0 && lane.in_flight < max_in_flight;
+        let state = self.service_states.entry(row.arrival.service).or_default();
+        let free = state.queued == 0 && state.in_flight < max_in_flight;
         if now >= row.arrival.deadline {
             out.push(refusal(request, RefusalKind::DeadlinePassed, true, None));
             return;
         }
-        let found = if free {
+        let choice = if free {
             self.route(now, &row)
         } else {
-            Err(NoEndpointReason::Full)
+            Err(NoEndpointReason::AllFull)
         };
-        match found {
+        match choice {
             Ok(endpoint) => self.send(now, row, endpoint, out),
-            Err(NoEndpointReason::Away) => {
-                let after = self.spread(RETRY_AFTER_MIN * 2);
-                out.push(refusal(request, RefusalKind::NoEndpoint, true, Some(after)));
+            Err(NoEndpointReason::NoneUsable) => {
+                let retry_after = self.jittered(RETRY_AFTER_MIN * 2);
+                out.push(refusal(
+                    request,
+                    RefusalKind::NoEndpoint,
+                    true,
+                    Some(retry_after),
+                ));
             }
-            Err(NoEndpointReason::Full) => self.enqueue(now, row, queue_limit, out),
+            Err(NoEndpointReason::AllFull) => self.enqueue(now, row, queue_limit, out),
         }
     }
 
-    fn route(&mut self, now: Duration, row: &Row) -> Result<EndpointId, NoEndpointReason> {
-        let ask = RouteQuery {
+    fn route(&mut self, now: Duration, row: &RequestRow) -> Result<EndpointId, NoEndpointReason> {
+        let query = RouteQuery {
             service: row.arrival.service,
             prefix: row.arrival.prefix,
             avoid: row.endpoint,
         };
         routing::choose(
             &self.endpoints,
-            self.home,
-            ask,
+            self.local_domain,
+            query,
             self.policy,
             now,
             &mut self.rng,
         )
     }
 
-    fn send(&mut self, now: Duration, mut row: Row, to: EndpointId, out: &mut Vec<Action>) {
+    fn send(&mut self, now: Duration, mut row: RequestRow, to: EndpointId, out: &mut Vec<Action>) {
         let request = row.arrival.request;
         row.endpoint = Some(to);
         row.attempts += 1;
@@ -329,13 +340,16 @@
             self.budget.earn();
         }
         row.sent_at = now;
-        row.heard_at = now;
+        row.last_received_at = now;
         if let Some(endpoint) = self.endpoints.get_mut(to) {
             endpoint.online_here += 1;
         }
-        let lane = self.lanes.entry(row.arrival.service).or_default();
-        lane.in_flight += 1;
-        *lane.by_workspace.entry(row.arrival.workspace).or_default() += 1;
+        let state = self.service_states.entry(row.arrival.service).or_default();
+        state.in_flight += 1;
+        *state
+            .in_flight_by_workspace
+            .entry(row.arrival.workspace)
+            .or_default() += 1;
         out.push(Action::Send {
             request,
             endpoint: to,
@@ -344,52 +358,63 @@
         self.rows.insert(request, row);
     }
 
-    /// Gives back what [`Online::send`] took.
-    fn release(&mut self, row: &Row) {
+    /// Releases what [`Online::send`] reserved.
+    fn release(&mut self, row: &RequestRow) {
         if let Some(endpoint) = row.endpoint.and_then(|id| self.endpoints.get_mut(id)) {
             endpoint.online_here = endpoint.online_here.saturating_sub(1);
         }
-        let lane = self.lanes.entry(row.arrival.service).or_default();
-        lane.in_flight = lane.in_flight.saturating_sub(1);
-        if let Some(count) = lane.by_workspace.get_mut(&row.arrival.workspace) {
+        let state = self.service_states.entry(row.arrival.service).or_default();
+        state.in_flight = state.in_flight.saturating_sub(1);
+        if let Some(count) = state.in_flight_by_workspace.get_mut(&row.arrival.workspace) {
             *count = count.saturating_sub(1);
         }
     }
 
-    fn enqueue(&mut self, now: Duration, row: Row, queue_limit: usize, out: &mut Vec<Action>) {
+    fn enqueue(
+        &mut self,
+        now: Duration,
+        row: RequestRow,
+        queue_limit: usize,
+        out: &mut Vec<Action>,
+    ) {
         let request = row.arrival.request;
         let (service, workspace) = (row.arrival.service, row.arrival.workspace);
-        let lane = self.lanes.entry(service).or_default();
-        let (all, own) = (
-            lane.queued,
-            lane.queues.get(&workspace).map_or(0, VecDeque::len),
+        let state = self.service_states.entry(service).or_default();
+        let (all_queued, own_queued) = (
+            state.queued,
+            state.queues.get(&workspace).map_or(0, VecDeque::len),
         );
         let share = self.share(service, workspace);
-        let quota = ((queue_limit as f64 * share).ceil() as usize).max(1);
-        let wait = self.expected_wait(now, service, own_position(own, share, all));
-        let kind = if own >= quota {
+        let workspace_limit = ((queue_limit as f64 * share).ceil() as usize).max(1);
+        let wait = self.expected_wait(now, service, queue_position(own_queued, share, all_queued));
+        let kind = if own_queued >= workspace_limit {
             Some(RefusalKind::ShareUsed)
-        } else if all >= queue_limit {
+        } else if all_queued >= queue_limit {
             Some(RefusalKind::ServiceFull)
-        } else if now + wait >= row.arrival.deadline || wait > self.patience(service).mul_f64(ADMIT)
+        } else if now + wait >= row.arrival.deadline
+            || wait > self.max_wait(service).mul_f64(ADMITTED_WAIT_RATIO)
         {
             Some(RefusalKind::DeadlineUnreachable)
         } else {
             None
         };
         if let Some(kind) = kind {
-            let after = self.spread(wait.max(RETRY_AFTER_MIN));
-            out.push(refusal(request, kind, !row.may_have_run, Some(after)));
+            let retry_after = self.jittered(wait.max(RETRY_AFTER_MIN));
+            out.push(refusal(request, kind, !row.may_have_run, Some(retry_after)));
             return;
         }
-        let lane = self.lanes.entry(service).or_default();
-        lane.queues.entry(workspace).or_default().push_back(request);
-        lane.queued += 1;
+        let state = self.service_states.entry(service).or_default();
+        state
+            .queues
+            .entry(workspace)
+            .or_default()
+            .push_back(request);
+        state.queued += 1;
         self.rows.insert(request, row);
     }
 
-    /// The longest that a request may wait and still see its first token near the goal.
-    fn patience(&self, service: ServiceId) -> Duration {
+    /// Longest time that a request may wait and still get its first token near the goal.
+    fn max_wait(&self, service: ServiceId) -> Duration {
         self.services
             .get(&service)
             .map_or(Duration::ZERO, |s| s.first_token_goal)
@@ -403,9 +428,9 @@
             .unwrap_or(SHARE_DEFAULT)
     }
 
-    /// Expected wait of a request with `ahead` others before it.
+    /// Expected wait of a request with `ahead` others in front of it.
     fn expected_wait(&self, now: Duration, service: ServiceId, ahead: usize) -> Duration {
-        let Some(lane) = self.lanes.get(&service) else {
+        let Some(state) = self.service_states.get(&service) else {
             return Duration::ZERO;
         };
         let rows = self.endpoints.of_service(service);
@@ -415,26 +440,27 @@
             .filter(|row| row.usable(now))
             .map(|row| row.slots(now))
             .sum();
-        let cap = self
+        let max_in_flight = self
             .services
             .get(&service)
             .map_or(0.0, |s| s.max_in_flight as f64);
-        // The slots that this VM's requests hold are those it can expect to get back.
-        let turn = (lane.in_flight as f64)
+        // The slots held by this VM's requests are those it can expect to get back.
+        let slots_in_use = (state.in_flight as f64)
             .max(1.0)
             .min(slots.max(1.0))
-            .min(cap.max(1.0));
-        Duration::from_secs_f64((ahead as f64 + 1.0) * lane.hold_s / turn)
+            .min(max_in_flight.max(1.0));
+        Duration::from_secs_f64((ahead as f64 + 1.0) * state.slot_time_s / slots_in_use)
     }
 
-    /// Spreads callers that were refused together over half to one and a half of the time.
-    fn spread(&mut self, about: Duration) -> Duration {
+    /// Jitters a retry time by a factor of 0.5 to 1.5, so that callers refused together don't
+    /// return together.
+    fn jittered(&mut self, about: Duration) -> Duration {
         about
             .mul_f64(self.rng.random_range(0.5..1.5))
             .max(RETRY_AFTER_MIN)
     }
 
-    fn first_token(&mut self, now: Duration, request: RequestId) {
+    fn handle_first_token(&mut self, now: Duration, request: RequestId) {
         let Some(row) = self.rows.get_mut(&request) else {
             return;
         };
@@ -454,7 +480,7 @@
         }
     }
 
-    fn ended(
+    fn handle_end(
         &mut self,
         now: Duration,
         request: RequestId,
@@ -465,7 +491,7 @@
             return;
         };
         if row.attempts == 0 {
-            self.unqueue(&row);
+            self.dequeue(&row);
             return;
         }
         self.release(&row);
@@ -477,13 +503,14 @@
                     endpoint.succeeded(None);
                 }
                 let held_s = now.saturating_sub(row.sent_at).as_secs_f64();
-                let lane = self.lanes.entry(service).or_default();
-                let old_s = if lane.hold_s == 0.0 {
+                let state = self.service_states.entry(service).or_default();
+                let previous_s = if state.slot_time_s == 0.0 {
                     held_s
                 } else {
-                    lane.hold_s
+                    state.slot_time_s
                 };
-                lane.hold_s = old_s * (1.0 - AVERAGE_NEW) + held_s * AVERAGE_NEW;
+                state.slot_time_s =
+                    previous_s * (1.0 - SLOT_TIME_WEIGHT) + held_s * SLOT_TIME_WEIGHT;
             }
             AttemptOutcome::Abandoned => {}
             AttemptOutcome::Failed {
@@ -500,38 +527,41 @@
                 }
                 row.may_have_run |=
                     matches!(reach, AttemptStage::MaybeSent | AttemptStage::Answering);
-                row.turned_away += u32::from(ended && reach == AttemptStage::NotSent);
+                row.refused_attempts += u32::from(ended && reach == AttemptStage::NotSent);
                 self.retry(now, row, reach, ended, out);
             }
         }
-        self.drain(now, service, out);
+        self.dispatch(now, service, out);
     }
 
-    /// Makes a failed try again where that may be.
+    /// Retries a failed attempt if permitted.
     ///
-    /// The failure: endpoints end, and those who were served there, or who meet the dead ones next, are refused beside free slots:
-    /// their tries are used up by endpoints that never ran anything, and the budget of retries with them. It is for
-    /// endpoints that fail under load; what an end takes away comes once, and a connection that is refused costs no endpoint anything.
+    /// An attempt lost because its endpoint ended is not charged to the retry budget, and a
+    /// connection refused by a dead endpoint does not use up an attempt. Otherwise, when endpoints
+    /// end, the requests they served and those that meet the dead endpoints next are refused
+    /// although slots are free. The budget limits the load on endpoints that fail under load; an
+    /// ended endpoint loses its requests only once, and a refused connection costs no endpoint
+    /// anything.
     fn retry(
         &mut self,
         now: Duration,
-        row: Row,
+        row: RequestRow,
         reach: AttemptStage,
         ended: bool,
         out: &mut Vec<Action>,
     ) {
         let request = row.arrival.request;
         let arrival = &row.arrival;
-        let may = match reach {
+        let permitted = match reach {
             AttemptStage::Answering if arrival.resumable => true,
             _ => retry::allowed(reach, arrival.idempotent),
         };
-        let left = row.has_attempts_left() && now < arrival.deadline;
-        if may && left && (ended || self.budget.spend(now)) {
+        let attempts_left = row.has_attempts_left() && now < arrival.deadline;
+        if permitted && attempts_left && (ended || self.budget.spend(now)) {
             match self.route(now, &row) {
                 Ok(endpoint) => return self.send(now, row, endpoint, out),
-                Err(NoEndpointReason::Full) => return self.enqueue_again(now, row, out),
-                Err(NoEndpointReason::Away) => {}
+                Err(NoEndpointReason::AllFull) => return self.requeue(now, row, out),
+                Err(NoEndpointReason::NoneUsable) => {}
             }
         }
         let kind = match (row.may_have_run, row.arrival.idempotent) {
@@ -540,12 +570,12 @@
             (true, true) => RefusalKind::EndpointFailed,
         };
         let not_run = !row.may_have_run;
-        let after = self.spread(RETRY_AFTER_MIN * 2);
-        out.push(refusal(request, kind, not_run, Some(after)));
+        let retry_after = self.jittered(RETRY_AFTER_MIN * 2);
+        out.push(refusal(request, kind, not_run, Some(retry_after)));
     }
 
-    /// Waits for room once more after a try that failed.
-    fn enqueue_again(&mut self, now: Duration, row: Row, out: &mut Vec<Action>) {
+    /// Queues a request again after a failed attempt.
+    fn requeue(&mut self, now: Duration, row: RequestRow, out: &mut Vec<Action>) {
         let services = &self.services;
         let limit = services
             .get(&row.arrival.service)
@@ -553,27 +583,29 @@
         self.enqueue(now, row, limit, out);
     }
 
-    /// Gives up tries at endpoints from which nothing comes any more.
+    /// Gives up attempts at endpoints that have stopped sending on all connections.
     ///
-    /// The failure: a machine loses its power or its network. Nothing resets the connections, and its
-    /// callers wait until their deadlines. An engine that runs anything sends an event every few
-    /// tens of milliseconds, so silence on all connections at once, while one of its requests is
-    /// past the queue, tells a dead engine from a busy one.
+    /// When a machine loses power or its network, nothing resets the connections, and without this
+    /// check its callers would wait until their deadlines. An engine that runs anything sends an
+    /// event every few tens of milliseconds. So silence on all connections at once, while one of
+    /// the requests is past the engine's queue, distinguishes a dead engine from a busy one.
     fn give_up_silent(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let mut waits: HashMap<EndpointId, (Duration, bool)> = HashMap::new();
+        let mut attempts_by_endpoint: HashMap<EndpointId, (Duration, bool)> = HashMap::new();
         for row in self.rows.values().filter(|row| !row.given_up) {
             if let (Some(id), true) = (row.endpoint, row.attempts > 0) {
-                let (oldest, answering) = waits.entry(id).or_insert((row.sent_at, false));
+                let (oldest, answering) = attempts_by_endpoint
+                    .entry(id)
+                    .or_insert((row.sent_at, false));
                 *oldest = row.sent_at.min(*oldest);
                 *answering |= row.answering;
             }
         }
-        for (id, (oldest, answering)) in waits {
-            let awake_since = self.awake_since;
+        for (id, (oldest, answering)) in attempts_by_endpoint {
+            let resumed_at = self.resumed_at;
             let Some(endpoint) = self.endpoints.get_mut(id) else {
                 continue;
             };
-            let since = endpoint.last_received_at.max(oldest).max(awake_since);
+            let since = endpoint.last_received_at.max(oldest).max(resumed_at);
             let bound = match answering || !endpoint.may_queue(now) {
                 true => SILENCE,
                 false => SILENCE_CROWDED,
@@ -582,94 +614,97 @@
                 continue;
             }
             endpoint.eject(now);
-            let stuck = |row: &&mut Row| row.endpoint == Some(id) && row.attempts > 0;
-            for row in self.rows.values_mut().filter(stuck) {
+            let is_affected = |row: &&mut RequestRow| row.endpoint == Some(id) && row.attempts > 0;
+            for row in self.rows.values_mut().filter(is_affected) {
                 row.give_up(out);
             }
         }
     }
 
-    /// Gives up tries from which nothing comes any more, while their endpoint speaks on other connections or has left.
+    /// Gives up attempts that have stopped receiving while their endpoint still sends on other
+    /// connections or is no longer registered.
     ///
-    /// The failure: one connection goes silent for good, or an endpoint dies after its entry has gone; no other
-    /// request shows it, and the caller waits until its deadline. A request that stands in the queue of a
-    /// crowded endpoint hears nothing either, so one without an answer is given up only where a slot was free for it.
+    /// If one connection goes silent for good, or an endpoint dies after its entry has been
+    /// removed, no other request shows it, and without this check the caller would wait until its
+    /// deadline. A request in the queue of an endpoint without free slots receives nothing either,
+    /// so an attempt without a response is given up only if the endpoint had a free slot for it.
     fn give_up_unanswered(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let (endpoints, awake_since) = (&self.endpoints, self.awake_since);
-        let waits = |row: &&mut Row| row.endpoint.is_some() && row.attempts > 0;
-        for row in self.rows.values_mut().filter(waits) {
+        let (endpoints, resumed_at) = (&self.endpoints, self.resumed_at);
+        let is_sent = |row: &&mut RequestRow| row.endpoint.is_some() && row.attempts > 0;
+        for row in self.rows.values_mut().filter(is_sent) {
             let endpoint = row.endpoint.and_then(|id| endpoints.get(id));
-            let crowded = endpoint.is_some_and(|endpoint| endpoint.may_queue(now));
+            let may_queue = endpoint.is_some_and(|endpoint| endpoint.may_queue(now));
             let bound = match row.answering {
                 true => ANSWER_SILENCE,
-                false if crowded => continue,
+                false if may_queue => continue,
                 false => SILENCE_CROWDED,
             };
-            if now >= row.heard_at.max(awake_since) + bound {
+            if now >= row.last_received_at.max(resumed_at) + bound {
                 row.give_up(out);
             }
         }
     }
 
-    fn unqueue(&mut self, row: &Row) {
+    fn dequeue(&mut self, row: &RequestRow) {
         let request = row.arrival.request;
-        let Some(lane) = self.lanes.get_mut(&row.arrival.service) else {
+        let Some(state) = self.service_states.get_mut(&row.arrival.service) else {
             return;
         };
-        let Some(queue) = lane.queues.get_mut(&row.arrival.workspace) else {
+        let Some(queue) = state.queues.get_mut(&row.arrival.workspace) else {
             return;
         };
         let before = queue.len();
         queue.retain(|queued| *queued != request);
-        lane.queued -= before - queue.len();
+        state.queued -= before - queue.len();
     }
 
-    /// Gives up what waited too long, at once, so that callers can go elsewhere.
+    /// Drops queued requests as soon as they have waited too long, so that callers can go
+    /// elsewhere.
     fn expire(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
-        let patience = self.patience(service);
-        let Some(lane) = self.lanes.get(&service) else {
+        let max_wait = self.max_wait(service);
+        let Some(state) = self.service_states.get(&service) else {
             return;
         };
-        let late: Vec<RequestId> = lane
+        let expired: Vec<RequestId> = state
             .queues
             .values()
             .flatten()
             .copied()
             .filter(|request| {
                 let row = &self.rows[request];
-                now >= row.arrival.deadline || now >= row.arrived_at + patience
+                now >= row.arrival.deadline || now >= row.arrived_at + max_wait
             })
             .collect();
-        for request in late {
+        for request in expired {
             let Some(row) = self.rows.remove(&request) else {
                 continue;
             };
-            self.unqueue(&row);
+            self.dequeue(&row);
             let kind = if now >= row.arrival.deadline {
                 RefusalKind::DeadlinePassed
             } else {
                 RefusalKind::DeadlineUnreachable
             };
-            let after = self.spread(RETRY_AFTER_MIN * 2);
-            out.push(refusal(request, kind, !row.may_have_run, Some(after)));
+            let retry_after = self.jittered(RETRY_AFTER_MIN * 2);
+            out.push(refusal(request, kind, !row.may_have_run, Some(retry_after)));
         }
     }
 
-    /// Sends waiting requests while there is room, the workspace furthest below its share first. A less urgent one has a
-    /// smaller share, but is never left without any.
-    fn drain(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
-        let cap = self.services.get(&service).map_or(0, |s| s.max_in_flight);
+    /// Sends queued requests while there is room, from the workspace furthest below its share
+    /// first. Less urgent requests lower the effective share of a workspace, but never to zero.
+    fn dispatch(&mut self, now: Duration, service: ServiceId, out: &mut Vec<Action>) {
+        let max_in_flight = self.services.get(&service).map_or(0, |s| s.max_in_flight);
         loop {
-            let Some(lane) = self.lanes.get(&service) else {
+            let Some(state) = self.service_states.get(&service) else {
                 return;
             };
-            if lane.queued == 0 || lane.in_flight >= cap {
+            if state.queued == 0 || state.in_flight >= max_in_flight {
                 return;
             }
-            let Some(workspace) = self.neediest(service, lane) else {
+            let Some(workspace) = self.furthest_below_share(service, state) else {
                 return;
             };
-            let Some(request) = lane.queues[&workspace].front().copied() else {
+            let Some(request) = state.queues[&workspace].front().copied() else {
                 return;
             };
             let Some(row) = self.rows.get(&request).cloned() else {
@@ -679,22 +714,30 @@
                 return;
             };
             self.rows.remove(&request);
-            self.unqueue(&row);
+            self.dequeue(&row);
             self.send(now, row, endpoint, out);
         }
     }
 
-    fn neediest(&self, service: ServiceId, lane: &Lane) -> Option<WorkspaceId> {
-        let use_of = |workspace: WorkspaceId, first: &RequestId| {
-            let in_flight = lane.by_workspace.get(&workspace).copied().unwrap_or(0);
+    fn furthest_below_share(
+        &self,
+        service: ServiceId,
+        state: &ServiceState,
+    ) -> Option<WorkspaceId> {
+        let relative_use = |workspace: WorkspaceId, first: &RequestId| {
+            let in_flight = state
+                .in_flight_by_workspace
+                .get(&workspace)
+                .copied()
+                .unwrap_or(0);
             let row = self.rows.get(first);
             let weight = row.map_or(1.0, |row| priority_weight(row.arrival.priority));
             let share = self.share(service, workspace) * weight;
             (in_flight as f64 + 1.0) / share.max(f64::EPSILON)
         };
-        let waiting = lane.queues.iter().filter_map(|(workspace, queue)| {
+        let waiting = state.queues.iter().filter_map(|(workspace, queue)| {
             let first = queue.front()?;
-            Some((*workspace, use_of(*workspace, first)))
+            Some((*workspace, relative_use(*workspace, first)))
         });
         waiting
             .min_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)))
@@ -702,15 +745,16 @@
     }
 }
 
-/// Factor of the share of a workspace, by the priority of its first request in the queue.
+/// Factor on a workspace's share, from the priority of the first request in its queue.
 fn priority_weight(priority: u32) -> f64 {
     0.5f64.powi(priority.min(PRIORITY_MAX) as i32)
 }
 
-/// Requests expected to be served before one with `own` of its workspace ahead of it: with a share
-/// of the slots, its own queue moves at that share of the pace, but never slower than all of it.
-fn own_position(own: usize, share: f64, all: usize) -> usize {
-    ((own as f64 / share.max(f64::EPSILON)) as usize).min(all)
+/// Number of requests expected to be served before one with `own_queued` requests of its workspace
+/// in front of it. With a share of the slots, the workspace's queue moves at that share of the
+/// pace, but never slower than the whole queue.
+fn queue_position(own_queued: usize, share: f64, all_queued: usize) -> usize {
+    ((own_queued as f64 / share.max(f64::EPSILON)) as usize).min(all_queued)
 }
 
 fn refusal(
--- a/src/decide/routing.rs
+++ b/src/decide/routing.rs
@@ -1,4 +1,4 @@
-//! Which endpoint a request goes to.
+//! Chooses the endpoint of a request.
 
 use std::time::Duration;
 
@@ -8,127 +8,131 @@
 use super::endpoints::{Endpoint, Endpoints};
 use crate::id::{weight, DomainId, EndpointId, ServiceId};
 
-/// With prefix affinity an endpoint takes at most this many times the mean load.
+/// With prefix affinity, an endpoint takes at most this many times the mean load.
 pub const LOAD_BOUND: f64 = 1.25;
 
-/// The ways of choosing among endpoints with room.
+/// How to choose among endpoints with room.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize, strum::IntoStaticStr, strum::EnumIter,
 )]
 #[strum(serialize_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
-    /// Rendezvous on the prompt's prefix, passing over endpoints above the bounded load.
+    /// Rendezvous hashing on the prompt's prefix, skipping endpoints above [`LOAD_BOUND`].
     #[default]
     Affinity,
-    /// The less loaded of two random ones.
+    /// The less loaded of two random endpoints.
     TwoChoices,
-    /// The least loaded as far as is known.
+    /// The least loaded endpoint in the local view.
     LeastLoad,
 }
 
-/// What is asked for.
+/// What an endpoint is needed for.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteQuery {
     pub service: ServiceId,
-    /// Hash of the prompt's prefix; 0 when there is none.
+    /// Hash of the prompt's prefix; 0 if there is none.
     pub prefix: u64,
-    /// Endpoint of an earlier try, passed over while there is another.
+    /// Endpoint of an earlier attempt, skipped if there is another.
     pub avoid: Option<EndpointId>,
 }
 
 /// Why there is no endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoEndpointReason {
-    /// All usable ones are full.
-    Full,
-    /// None is usable.
-    Away,
+    /// All usable endpoints are full.
+    AllFull,
+    /// No endpoint is usable.
+    NoneUsable,
 }
 
-/// Whether an endpoint may be chosen, and whether those of the own failure domain are meant.
-type Choice = (fn(&Endpoint, Duration) -> bool, bool);
+/// A test that an endpoint must pass, and whether it must be in the local failure domain.
+type Preference = (fn(&Endpoint, Duration) -> bool, bool);
 
-/// Choices of a VM that soon hears what the others choose: a slot, near or far, goes before a wait.
-const BY_SLOT: [Choice; 4] = [
+/// Order used when this VM soon receives what other VMs choose: a free slot, local or remote, goes
+/// before a place in a queue.
+const FREE_SLOT_FIRST: [Preference; 4] = [
     (Endpoint::has_slot, true),
     (Endpoint::has_slot, false),
     (Endpoint::has_room, true),
     (Endpoint::has_room, false),
 ];
 
-/// Choices where many choose by the same late news: all endpoints near by with room, by their load.
+/// Order used when many VMs choose by the same outdated counts: all local endpoints with room, by
+/// load.
 ///
-/// The failure: three of 32 engines have a slot free, 54 VMs hear of it, and all of their 60 requests of the next
-/// 0.2 s go to these three, where they wait for half a second behind each other.
-const BY_LOAD: [Choice; 3] = [
+/// If free slots went first here, three free slots on 32 engines would draw all 60 requests that 54
+/// VMs receive in the next 0.2 s, and these would wait for half a second behind each other.
+const LEAST_LOAD_FIRST: [Preference; 3] = [
     (Endpoint::has_room, true),
     (Endpoint::has_spare_slots, false),
     (Endpoint::has_room, false),
 ];
 
-/// Chooses an endpoint where the request starts at once, or as soon as a batch item has made way, then one
-/// where it waits for the next slot; of each, the own failure domain first. Slots without any item do not go
-/// first: while items fill nearly all, the few left would draw the requests of all VMs.
+/// Chooses an endpoint where the request starts at once, or as soon as a batch item is preempted;
+/// if there is none, one where it waits for the next slot. In each case the local failure domain
+/// comes first. Slots without a batch item are not preferred: while items fill nearly all slots,
+/// the few empty ones would draw the requests of all VMs.
 ///
-/// The failure: two of the endpoints with room were drawn, and room is also where one more may wait. In a
-/// burst requests stood behind eight that had just begun, for 0.3 to 0.5 s, while 12 of 144 slots were free.
+/// Endpoints with a free slot have to come before those that only have room, since room includes a
+/// place in the queue. If two are drawn among all endpoints with room, requests of a burst queue
+/// behind eight that have just begun, for 0.3 to 0.5 s, while 12 of 144 slots are free.
 pub fn choose(
     table: &Endpoints,
-    home: DomainId,
-    ask: RouteQuery,
+    local_domain: DomainId,
+    query: RouteQuery,
     policy: Policy,
     now: Duration,
     rng: &mut impl Rng,
 ) -> Result<EndpointId, NoEndpointReason> {
-    let choices = match table.counts_lag {
-        true => &BY_LOAD[..],
-        false => &BY_SLOT[..],
+    let preferences = match table.counts_lag {
+        true => &LEAST_LOAD_FIRST[..],
+        false => &FREE_SLOT_FIRST[..],
     };
-    for (starts, own) in choices {
+    for (test, local) in preferences {
         let fits = |row: &Endpoint| {
-            let near = (row.declared.domain == home) == *own;
-            near && row.usable(now) && starts(row, now) && ask.avoid != Some(row.id)
+            let is_local = (row.declared.domain == local_domain) == *local;
+            is_local && row.usable(now) && test(row, now) && query.avoid != Some(row.id)
         };
-        if let Some(found) = best(table, ask, policy, now, rng, fits) {
+        if let Some(found) = best(table, query, policy, now, rng, fits) {
             return Ok(found);
         }
     }
-    let rows = table.of_service(ask.service).iter();
+    let rows = table.of_service(query.service).iter();
     let usable = rows
         .map(|at| &table.rows[*at])
         .filter(|row| row.usable(now));
-    // The endpoint that failed before is better than none.
-    if let Some(again) = usable.clone().find(|row| row.has_room(now)) {
-        return Ok(again.id);
+    // An endpoint that failed before is better than none.
+    if let Some(retried) = usable.clone().find(|row| row.has_room(now)) {
+        return Ok(retried.id);
     }
     match usable.count() {
-        0 => Err(NoEndpointReason::Away),
-        _ => Err(NoEndpointReason::Full),
+        0 => Err(NoEndpointReason::NoneUsable),
+        _ => Err(NoEndpointReason::AllFull),
     }
 }
 
 fn best(
     table: &Endpoints,
-    ask: RouteQuery,
+    query: RouteQuery,
     policy: Policy,
     now: Duration,
     rng: &mut impl Rng,
     fits: impl Fn(&Endpoint) -> bool,
 ) -> Option<EndpointId> {
-    let rows = table.of_service(ask.service);
+    let rows = table.of_service(query.service);
     let all = || rows.iter().map(|at| &table.rows[*at]);
     let candidates = || all().filter(|row| fits(row));
     let by_load = |a: &f64, b: &f64| a.total_cmp(b);
     match policy {
-        Policy::Affinity if ask.prefix != 0 => {
+        Policy::Affinity if query.prefix != 0 => {
             let (online, slots) = candidates().fold((1.0, 0.0), |(online, slots), row| {
                 (online + f64::from(row.online()), slots + row.slots(now))
             });
             let bound = LOAD_BOUND * online / slots;
             candidates()
                 .filter(|row| f64::from(row.online()) <= (bound * row.slots(now)).ceil())
-                .max_by_key(|row| weight(ask.prefix, row.id))
+                .max_by_key(|row| weight(query.prefix, row.id))
                 .map(|row| row.id)
         }
         Policy::LeastLoad => candidates()
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -1,4 +1,4 @@
-//! The log of intents: no key is begun twice, whatever order things happen in.
+//! The intent log: no key is begun twice, whatever the order of events.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
@@ -25,15 +25,15 @@
     paused_until: u32,
 }
 
-struct World {
+struct Simulation {
     rng: SmallRng,
     step: u32,
     log: BTreeMap<u64, IntentPage>,
     owners: Vec<Owner>,
-    asked: HashMap<u64, (usize, String)>,
-    next_ticket: u64,
-    /// How often a key went out.
-    ran: HashMap<String, u32>,
+    owner_by_waiter: HashMap<u64, (usize, String)>,
+    next_waiter: u64,
+    /// How often the request of each key was sent.
+    sends: HashMap<String, u32>,
     replayed: u32,
     outage: bool,
 }
@@ -46,8 +46,8 @@
     }
 }
 
-impl World {
-    fn new(seed: u64, owners: usize) -> World {
+impl Simulation {
+    fn new(seed: u64, owners: usize) -> Simulation {
         let mut rng = SmallRng::seed_from_u64(seed);
         let owners = (0..owners)
             .map(|_| Owner {
@@ -56,14 +56,14 @@
                 paused_until: 0,
             })
             .collect();
-        World {
+        Simulation {
             rng,
             step: 0,
             log: BTreeMap::new(),
             owners,
-            asked: HashMap::new(),
-            next_ticket: 0,
-            ran: HashMap::new(),
+            owner_by_waiter: HashMap::new(),
+            next_waiter: 0,
+            sends: HashMap::new(),
             replayed: 0,
             outage: false,
         }
@@ -73,11 +73,12 @@
         STEP * self.step
     }
 
-    fn ask(&mut self, owner: usize, key: &str, ask: IntentRequest) {
-        self.next_ticket += 1;
-        self.asked.insert(self.next_ticket, (owner, key.to_owned()));
+    fn submit(&mut self, owner: usize, key: &str, ask: IntentRequest) {
+        self.next_waiter += 1;
+        self.owner_by_waiter
+            .insert(self.next_waiter, (owner, key.to_owned()));
         let mut out = Vec::new();
-        let (now, ticket) = (self.now(), self.next_ticket);
+        let (now, ticket) = (self.now(), self.next_waiter);
         self.owners[owner]
             .range
             .ask(now, ticket, key.to_owned(), ask, &mut out);
@@ -108,7 +109,7 @@
             let fails = self.outage || self.rng.random_bool(0.1);
             let event = match action {
                 Action::Tell { ticket, verdict } => {
-                    self.told(ticket, verdict);
+                    self.on_reply(ticket, verdict);
                     continue;
                 }
                 Action::List { from } => {
@@ -130,19 +131,19 @@
         }
     }
 
-    fn told(&mut self, ticket: u64, verdict: IntentVerdict) {
-        let (owner, key) = self.asked[&ticket].clone();
+    fn on_reply(&mut self, ticket: u64, verdict: IntentVerdict) {
+        let (owner, key) = self.owner_by_waiter[&ticket].clone();
         match verdict {
             IntentVerdict::Go if !key.starts_with("end-") => {
-                *self.ran.entry(key.clone()).or_default() += 1;
-                // Some answers are never recorded: their VM died.
+                *self.sends.entry(key.clone()).or_default() += 1;
+                // Some answers are never recorded because their VM died.
                 if self.rng.random_bool(0.7) {
                     let mark = IntentRecord::Answered(answered(&key));
-                    self.next_ticket += 1;
-                    self.asked
-                        .insert(self.next_ticket, (owner, format!("end-{key}")));
+                    self.next_waiter += 1;
+                    self.owner_by_waiter
+                        .insert(self.next_waiter, (owner, format!("end-{key}")));
                     let mut out = Vec::new();
-                    let (now, ticket) = (self.now(), self.next_ticket);
+                    let (now, ticket) = (self.now(), self.next_waiter);
                     self.owners[owner].range.ask(
                         now,
                         ticket,
@@ -168,7 +169,7 @@
         }
         for owner in 0..self.owners.len() {
             if self.rng.random_bool(0.003) {
-                // Its process dies and another one starts.
+                // The process dies and another one starts.
                 let range = Range::new(self.rng.random());
                 self.owners[owner] = Owner {
                     range,
@@ -180,12 +181,12 @@
                 self.owners[owner].paused_until = self.step + self.rng.random_range(5..200);
             }
             if self.owners[owner].paused_until <= self.step {
-                self.wake(owner);
+                self.resume(owner);
             }
         }
     }
 
-    fn wake(&mut self, owner: usize) {
+    fn resume(&mut self, owner: usize) {
         let (now, step) = (self.now(), self.step);
         let mut out = Vec::new();
         let state = &mut self.owners[owner];
@@ -206,13 +207,13 @@
     }
 }
 
-fn play(seed: u64, owners: usize) -> World {
-    let mut world = World::new(seed, owners);
+fn simulate(seed: u64, owners: usize) -> Simulation {
+    let mut simulation = Simulation::new(seed, owners);
     for _ in 0..1_500 {
-        if world.rng.random_bool(0.2) && world.step < 1_200 {
-            let owner = world.rng.random_range(0..owners);
-            let key = format!("key-{}", world.rng.random_range(0..30));
-            world.ask(
+        if simulation.rng.random_bool(0.2) && simulation.step < 1_200 {
+            let owner = simulation.rng.random_range(0..owners);
+            let key = format!("key-{}", simulation.rng.random_range(0..30));
+            simulation.submit(
                 owner,
                 &key,
                 IntentRequest::Begin {
@@ -220,31 +221,31 @@
                 },
             );
         }
-        world.run_step();
+        simulation.run_step();
     }
-    world
+    simulation
 }
 
 quickcheck! {
-    // Callers send the same keys again to several VMs, which die, pause and wake, while the platform
-    // is away or its answers are lost. No key goes out twice: whoever writes a page has read all
-    // pages before it, and of two pages for one slot only one is taken.
+    // Callers send the same keys again to several VMs, which die, pause and resume, while the
+    // platform is unavailable or its responses are lost. No key is sent twice: a writer has read
+    // all earlier pages before it writes one, and of two pages for one slot only one is accepted.
     fn keys_once(seed: u64) -> bool {
-        play(seed, 3).ran.values().all(|runs| *runs == 1)
+        simulate(seed, 3).sends.values().all(|runs| *runs == 1)
     }
 
-    // Much of what is sent again finds the recorded answer; were it always "unknown", the log
-    // would be of no use. One play in thousands has the platform away nearly throughout, and nothing
-    // to replay: of eight plays in a row at most one may have none.
+    // Many repeated requests get the recorded answer; if all got "unknown", the log would be of no
+    // use. In one simulation in thousands the platform is unavailable nearly throughout and there
+    // is nothing to replay, so of eight simulations in a row at most one may have none.
     fn answers_replayed(seed: u64) -> bool {
-        let plays = (0..8).map(|step| play(seed.wrapping_add(step), 2));
-        let without = plays.filter(|world| !world.ran.is_empty() && world.replayed == 0);
+        let simulations = (0..8).map(|step| simulate(seed.wrapping_add(step), 2));
+        let without = simulations.filter(|simulation| !simulation.sends.is_empty() && simulation.replayed == 0);
         without.count() <= 1
     }
 }
 
-// The platform answers neither yes nor no: the caller is told "not run" while its page is in doubt.
-// The page stands after all; the key is released, so that the next try may go out.
+// The result of the platform's write stays unknown, and the caller is answered "not run" meanwhile.
+// The page was written after all, so the key is released and the next attempt may be sent.
 #[test]
 fn doubt_released() {
     let mut range = Range::new(1);
