--- a/src/decide/quarantine/change.rs
+++ b/src/decide/quarantine/change.rs
@@ -1,58 +1,63 @@
-//! What becomes of requests, for the log and for operators.
+//! State changes of quarantined requests, for the log and for operators.
 
 use serde::Serialize;
 
 use super::Fingerprint;
 use crate::id::Name;
 
-/// Whose word something is.
+/// Where a change of state originates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, strum::IntoStaticStr)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum EvidenceSource {
-    /// What this VM has seen, added to what others have told.
+    /// This VM's own observations, together with evidence reported by others.
     Own,
-    /// Another VM's.
+    /// A report from another VM.
     Peer,
-    /// Of the record in the metadata store.
+    /// The record in the metadata store.
     Store,
+    /// An operator's order.
     Operator,
+    /// The passage of time.
     Time,
 }
 
-/// What became of a request.
+/// New state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum QuarantineVerdict {
+    /// An endpoint ended while it ran the request.
     Suspected,
+    /// It is quarantined.
     Held,
-    /// It may run once.
+    /// It is still quarantined and gets one trial run.
     OnTrial,
-    /// It was answered whole, or an operator has released it.
+    /// It was answered completely, or an operator has released it.
     Cleared,
+    /// Its quarantine has expired.
     Forgotten,
 }
 
-/// One such change, for the log.
+/// One change of state, for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuarantineChange {
     pub fingerprint: Fingerprint,
     pub label: Name,
     pub verdict: QuarantineVerdict,
-    /// Ends that are held against it.
+    /// Failure bursts counted as evidence against it.
     pub ends: usize,
     pub by: EvidenceSource,
 }
 
-/// What operators see of a request.
+/// A suspected or quarantined request as operators see it.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct QuarantineListing {
     pub fingerprint: String,
     pub label: Name,
     pub ends: usize,
-    /// Since when it is held back; absent while it is only suspected.
+    /// For how long it has been quarantined; absent while it is only suspected.
     pub held_for_ms: Option<u64>,
-    /// Until it may run again.
+    /// Time until it may run again.
     pub back_in_ms: u64,
     pub by: EvidenceSource,
 }
--- a/src/decide/quarantine/evidence.rs
+++ b/src/decide/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! What is held against a request.
+//! Evidence for and against a request: lost runs, endpoint ends and recent answers.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -6,64 +6,71 @@
 use super::Fingerprint;
 use crate::id::{EndpointId, Name};
 
-/// Runs whose endpoint may have ended and that are remembered until that is known.
-pub const LOST_MAX: usize = 256;
-/// How long: an endpoint's entry lapses within four seconds of its end, and its removal is heard within two.
-pub const LOST_LIFE: Duration = Duration::from_secs(6);
-/// How long an end is remembered, for runs of which is heard later and for what else ended meanwhile.
-pub const ENDED_LIFE: Duration = Duration::from_secs(30);
-/// A run that has brought something for so long, and can go on after it, is not what ended its endpoint.
-const PROGRESS: Duration = Duration::from_secs(1);
-/// Ends so close to each other are one occasion: a rack loses its power, or a request is sent again at once.
-const TOGETHER: Duration = Duration::from_millis(200);
-/// Ends of one request that are remembered, the latest.
-const ENDS_KEPT: usize = 24;
-
-/// Answers that are remembered; what is asked again and again is among them.
-const ANSWERED_MAX: usize = 512;
+/// Lost runs that are kept until it is known whether their endpoint has ended.
+pub const LOST_RUNS_MAX: usize = 256;
+/// How long they are kept: an endpoint's entry lapses within four seconds of its end, and the
+/// removal arrives within two.
+pub const LOST_RUN_LIFETIME: Duration = Duration::from_secs(6);
+/// How long an end is kept, for lost runs that are reported later and to count ends of unrelated
+/// endpoints.
+pub const END_LIFETIME: Duration = Duration::from_secs(30);
+/// A resumable run that has made progress for this long is not what ended its endpoint.
+const PROGRESS_TIME_MIN: Duration = Duration::from_secs(1);
+/// Ends this close together count as one failure burst: a rack loses its power, or a request is
+/// retried at once.
+const BURST_WINDOW: Duration = Duration::from_millis(200);
+/// Ends kept for one request; the oldest are dropped.
+const ENDS_PER_REQUEST_MAX: usize = 24;
+
+/// Answered requests that are remembered; frequently repeated ones are always among them.
+const ANSWERS_MAX: usize = 512;
 
 /// A run that lost its connection.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LostRun {
     pub fingerprint: Fingerprint,
-    /// What it is, for people.
+    /// Description of the request for operators.
     pub label: Name,
     pub endpoint: EndpointId,
     pub at: Duration,
-    /// How long it had been under way.
+    /// How long the run had been in progress.
     pub ran: Duration,
-    /// It brought something after which another run goes on.
+    /// The run delivered output from which another run can resume.
     pub progressed: bool,
 }
 
 impl LostRun {
-    /// Whether it may be what ended its endpoint.
+    /// Whether the run may be what ended its endpoint.
     ///
-    /// The failure: items run for seconds, and in an hour in which endpoints end for other reasons each of them is there at three
-    /// ends. One that ends endpoints at a later point is caught where it goes on: there it ends them at once.
-    pub(super) fn counts(&self) -> bool {
-        !self.progressed || self.ran < PROGRESS
+    /// Items run for seconds, so while endpoints end for other reasons each item happens to be
+    /// running at three of the ends; without this rule it would be quarantined. An item that ends
+    /// endpoints at a later point of its run is still detected: when it resumes there, it ends the
+    /// next endpoint at once.
+    pub(super) fn is_evidence(&self) -> bool {
+        !self.progressed || self.ran < PROGRESS_TIME_MIN
     }
 }
 
-/// An endpoint that ended under a request.
+/// An endpoint that ended while it ran a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct End {
+pub struct EndpointEnd {
     pub endpoint: EndpointId,
     pub at: Duration,
 }
 
-/// Endpoints that ended under one request, the latest ones, each process once.
+/// Endpoints that ended while they ran one request: the latest ones, each endpoint process at most
+/// once.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ends(Vec<End>);
+pub struct EndpointEnds(Vec<EndpointEnd>);
 
-impl Ends {
-    /// Takes an end; false when it is known, or older than all that are kept, so that VMs which tell each other come to an end.
-    pub fn add(&mut self, end: End) -> bool {
-        if self.has(end.endpoint) {
+impl EndpointEnds {
+    /// Adds an end; false if it is known already or older than all that are kept, so that VMs stop
+    /// forwarding it to each other.
+    pub fn add(&mut self, end: EndpointEnd) -> bool {
+        if self.contains(end.endpoint) {
             return false;
         }
-        if self.0.len() >= ENDS_KEPT {
+        if self.0.len() >= ENDS_PER_REQUEST_MAX {
             let oldest = (0..self.0.len()).min_by_key(|at| self.0[*at].at);
             let oldest = oldest.filter(|at| self.0[*at].at < end.at);
             let Some(oldest) = oldest else {
@@ -75,38 +82,38 @@
         true
     }
 
-    /// Whether an endpoint ended under the request.
-    pub fn has(&self, endpoint: EndpointId) -> bool {
+    /// Whether this endpoint's end is among them.
+    pub fn contains(&self, endpoint: EndpointId) -> bool {
         self.0.iter().any(|end| end.endpoint == endpoint)
     }
 
-    /// Occasions since a moment.
-    pub fn since(&self, moment: Duration) -> usize {
+    /// Failure bursts after `moment`.
+    pub fn bursts_since(&self, moment: Duration) -> usize {
         let later = self.0.iter().filter(|end| end.at > moment);
-        occasions(later.map(|end| end.at).collect())
+        count_bursts(later.map(|end| end.at).collect())
     }
 
-    /// When the last one ended.
+    /// Time of the latest end.
     pub fn last_at(&self) -> Duration {
         self.0.iter().map(|end| end.at).max().unwrap_or_default()
     }
 
-    /// All of them.
-    pub fn iter(&self) -> impl Iterator<Item = &End> {
+    /// Iterates over the ends.
+    pub fn iter(&self) -> impl Iterator<Item = &EndpointEnd> {
         self.0.iter()
     }
 }
 
-/// Occasions on which endpoints ended: what ends together has one cause.
+/// Counts failure bursts: ends close together have one cause.
 ///
-/// The failure: the endpoints of a failure domain lose their power at one moment, and the question that everybody asks was under
-/// way at each of them.
-pub fn occasions(mut ends: Vec<Duration>) -> usize {
+/// Otherwise, when all endpoints of a failure domain lose their power at one moment, a common
+/// request that was running at each of them would be quarantined.
+pub fn count_bursts(mut ends: Vec<Duration>) -> usize {
     ends.sort();
     let mut count = 0;
     let mut last: Option<Duration> = None;
     for at in ends {
-        if last.is_none_or(|last| at > last + TOGETHER) {
+        if last.is_none_or(|last| at > last + BURST_WINDOW) {
             count += 1;
             last = Some(at);
         }
@@ -114,31 +121,32 @@
     count
 }
 
-/// Requests that were answered whole of late, whether or not anything is held against them yet.
+/// Requests that were recently answered, whether or not there is evidence against them yet.
 ///
-/// The failure: most endpoints end within half a second, the question that everybody asks is under way at each, and nobody is left
-/// to answer it and so to speak for it. It was answered before, which no request is that ends its endpoints.
+/// When most endpoints end within half a second, a common request may be running at each, and no
+/// endpoint is left that could answer it and so clear it. Its earlier answer clears it, since a
+/// request that ends its endpoints is never answered.
 #[derive(Debug, Default)]
-pub struct Answered {
-    at: HashMap<Fingerprint, Duration>,
+pub struct RecentAnswers {
+    answered_at: HashMap<Fingerprint, Duration>,
     order: VecDeque<Fingerprint>,
 }
 
-impl Answered {
-    /// A request was answered.
-    pub fn note(&mut self, now: Duration, fingerprint: Fingerprint) {
-        if self.at.insert(fingerprint, now).is_some() {
+impl RecentAnswers {
+    /// Records an answer.
+    pub fn record(&mut self, now: Duration, fingerprint: Fingerprint) {
+        if self.answered_at.insert(fingerprint, now).is_some() {
             return;
         }
         self.order.push_back(fingerprint);
-        if self.order.len() > ANSWERED_MAX {
+        if self.order.len() > ANSWERS_MAX {
             let oldest = self.order.pop_front();
-            oldest.map(|fingerprint| self.at.remove(&fingerprint));
+            oldest.map(|fingerprint| self.answered_at.remove(&fingerprint));
         }
     }
 
-    /// When a request was last answered.
-    pub fn at(&self, fingerprint: Fingerprint) -> Option<Duration> {
-        self.at.get(&fingerprint).copied()
+    /// Time of a request's last answer.
+    pub fn last_answer_at(&self, fingerprint: Fingerprint) -> Option<Duration> {
+        self.answered_at.get(&fingerprint).copied()
     }
 }
--- a/src/decide/quarantine/fingerprint.rs
+++ b/src/decide/quarantine/fingerprint.rs
@@ -1,24 +1,25 @@
-//! What counts as the same request.
+//! Identity of a request across retries and VMs.
 
 use std::fmt;
 use std::str::FromStr;
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a fingerprint: nobody can make a request that has another one's.
-const BYTES: usize = 16;
-/// Keeps these hashes apart from all others; any constant does.
-const CONTEXT: &str = "bramleyseam request fingerprint";
+/// 128 bits, so that no caller can construct a request with the fingerprint of another one.
+const FINGERPRINT_BYTES: usize = 16;
+/// Domain separation of these hashes from all others.
+const HASH_CONTEXT: &str = "bramleyseam request fingerprint";
 
-/// Hash of what was asked, alike on all VMs; ids and deadlines differ with each try and are left out.
+/// Hash of a request, the same on all VMs. Ids and deadlines differ between attempts and are left
+/// out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
-/// What was asked.
+/// The parts of a request that its fingerprint covers.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestIdentity<'a> {
-    /// What names the caller. Requests of two callers are never the same one, so that none can have another
-    /// one's request refused by sending it too.
+    /// Identifies the caller. Requests of two callers never have the same fingerprint, so that no
+    /// caller can get another caller's request quarantined by sending it too.
     pub caller: &'a [u8],
     pub method: &'a str,
     pub host: &'a [u8],
@@ -27,15 +28,15 @@
     pub body: &'a [u8],
 }
 
-/// Text that is no fingerprint.
+/// Error for a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, snafu::Snafu)]
-#[snafu(display("not a fingerprint: {} hexadecimal digits are expected", BYTES * 2))]
+#[snafu(display("not a fingerprint: {} hexadecimal digits are expected", FINGERPRINT_BYTES * 2))]
 pub struct InvalidFingerprint;
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(asked: &RequestIdentity<'_>) -> Fingerprint {
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
         let head = [
             asked.caller,
             asked.method.as_bytes(),
@@ -47,13 +48,13 @@
             hasher.update(field);
         }
         hasher.update(asked.body);
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Fingerprint(bytes)
     }
 
-    /// A number for rendezvous hashing.
-    pub fn key(&self) -> u64 {
+    /// Key for rendezvous hashing.
+    pub fn rendezvous_key(&self) -> u64 {
         self.0
             .iter()
             .take(8)
@@ -71,10 +72,10 @@
     type Err = InvalidFingerprint;
 
     fn from_str(text: &str) -> Result<Fingerprint, InvalidFingerprint> {
-        if text.len() != BYTES * 2 || !text.is_ascii() {
+        if text.len() != FINGERPRINT_BYTES * 2 || !text.is_ascii() {
             return Err(InvalidFingerprint);
         }
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         for (at, byte) in bytes.iter_mut().enumerate() {
             let digits = &text[at * 2..at * 2 + 2];
             *byte = u8::from_str_radix(digits, 16).map_err(|_| InvalidFingerprint)?;
--- a/src/decide/quarantine/report.rs
+++ b/src/decide/quarantine/report.rs
@@ -1,26 +1,28 @@
-//! What VMs tell each other of a request.
+//! Reports on requests that VMs send each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::evidence::End;
-use super::row::Row;
+use super::evidence::EndpointEnd;
+use super::row::TrackedRequest;
 use super::Fingerprint;
 use crate::decide::peers::Peers;
 use crate::id::{DomainId, EndpointId, VmId};
 
-/// Requests in one datagram of 1,400 bytes: each takes up to 440.
+/// Reports in one datagram of 1,400 bytes: each takes up to 440.
 pub const REPORTS_PER_DATAGRAM_MAX: usize = 3;
 
-/// VMs of which one is heard for certain, whatever datagrams are lost.
-const SPEAKERS: f64 = 32.0;
+/// Expected number of VMs that report an answer which all VMs give at once: enough for one report
+/// to arrive despite lost datagrams.
+const ANSWER_REPORTERS: f64 = 32.0;
 
-/// Whom a VM tells of a request, and whether that is all.
+/// Addresses to which a VM reports a request, and whether these are all VMs.
 ///
-/// All that is seen goes to the collectors, which add it up and tell all what concerns all: most requests that were under way at an end
-/// are never heard of again, and what everybody asks is cleared by everybody at once.
+/// Evidence goes to the aggregators, which add it up and report to all VMs what is relevant
+/// fleet-wide: most requests that were running when an endpoint ended need no further report, and a
+/// common request is cleared by all VMs at once.
 pub fn report_targets(
     peers: &Peers,
     now: Duration,
@@ -28,7 +30,7 @@
     fingerprint: Fingerprint,
     concerns_all: bool,
 ) -> (Vec<SocketAddr>, bool) {
-    let collectors = peers.aggregators(now, own, fingerprint.key());
+    let collectors = peers.aggregators(now, own, fingerprint.rendezvous_key());
     let collects = collectors.contains(&own.0);
     match collects && concerns_all {
         true => (all_targets(peers, own), true),
@@ -36,13 +38,13 @@
     }
 }
 
-/// Part of the VMs that tell of an answer when all of them give it at once.
+/// Probability with which a VM reports an answer, given that all of `vms` may give it at once.
 pub fn answer_report_share(vms: u32) -> f64 {
-    (SPEAKERS / f64::from(vms.max(1))).min(1.0)
+    (ANSWER_REPORTERS / f64::from(vms.max(1))).min(1.0)
 }
 
-/// All others in a mesh, the delegates of its failure domain in a large fleet; for a delegate the VMs of its failure domain and
-/// the delegates of the others.
+/// All other VMs in a full mesh; in a large fleet the delegates of the local failure domain, or for
+/// a delegate the VMs of its failure domain and the delegates of the other ones.
 pub fn all_targets(peers: &Peers, (own, home): (VmId, DomainId)) -> Vec<SocketAddr> {
     if peers.is_delegate(own) {
         let members = peers.domain_peers(home).into_iter().map(|(_, to)| to);
@@ -53,29 +55,29 @@
     others
 }
 
-/// What is known of one request. Times are ages, since clocks differ.
+/// State of one request. Times are sent as ages, since clocks differ.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuarantineReport {
     pub fingerprint: Fingerprint,
     pub label: String,
     ends: Vec<(EndpointId, AgeMs)>,
-    /// When something last spoke for it.
+    /// When it was last cleared.
     cleared: Option<AgeMs>,
-    /// Since when it is held back; `None` while it is not.
+    /// For how long it has been quarantined; `None` if it is not.
     held: Option<AgeMs>,
     pub trials: u8,
-    /// All VMs are told; else whoever hears it adds it up.
+    /// All VMs receive this report; otherwise the receiver is an aggregator.
     pub to_all: bool,
 }
 
-/// Milliseconds before the present time of whoever tells.
+/// Milliseconds before the sender's present time.
 type AgeMs = u32;
 
 impl QuarantineReport {
     pub(super) fn new(
         now: Duration,
         fingerprint: Fingerprint,
-        row: &Row,
+        row: &TrackedRequest,
         to_all: bool,
     ) -> QuarantineReport {
         let age = |at| now.saturating_sub(at).as_millis() as AgeMs;
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The same after it has lain somewhere for a time.
+    /// The same report after it has been stored or delayed for some time.
     pub fn aged(mut self, by: Duration) -> QuarantineReport {
         let by = by.as_millis().min(u128::from(AgeMs::MAX)) as AgeMs;
         let ages = self.ends.iter_mut().map(|(_, age)| age);
@@ -100,8 +102,8 @@
         self
     }
 
-    pub(super) fn ends(&self, now: Duration) -> impl Iterator<Item = End> + '_ {
-        let end = move |(endpoint, age): &(EndpointId, AgeMs)| End {
+    pub(super) fn ends(&self, now: Duration) -> impl Iterator<Item = EndpointEnd> + '_ {
+        let end = move |(endpoint, age): &(EndpointId, AgeMs)| EndpointEnd {
             endpoint: *endpoint,
             at: before(now, *age),
         };
--- a/src/decide/quarantine/row.rs
+++ b/src/decide/quarantine/row.rs
@@ -1,113 +1,119 @@
-//! What is known of one request.
+//! The state of one tracked request.
 
 use std::time::Duration;
 
-use super::evidence::{End, Ends};
+use super::evidence::{EndpointEnd, EndpointEnds};
 use super::EvidenceSource;
 use crate::id::Name;
 
-/// Ends that hold a request back. One end has up to all slots of its endpoint under way and says little, and two befall
-/// requests that are sent again while another one is still at work; by the third, one was at all of them.
-pub const ENDS_MIN: usize = 3;
-/// How long a request is held back, or remembered after its last end: for longer than anybody goes on asking by hand.
+/// Failure bursts that quarantine a request. A first end is weak evidence, since up to all slots of
+/// the endpoint are busy; two ends also hit requests that are retried while another request is the
+/// cause; by the third, only one request was running at all of them.
+pub const FAILURE_BURSTS_MIN: usize = 3;
+/// How long a request is quarantined, or remembered after its last end: longer than a person keeps
+/// retrying by hand.
 pub const HOLD_TIME: Duration = Duration::from_secs(600);
-/// A request that was held back may run once so long after that, and once more so long after: an innocent one is not lost for
-/// long, and one that goes on ending endpoints costs two more.
+/// Times after the start of the quarantine at which a request gets a trial run. An innocent request
+/// is thus not refused for long, and one that still ends endpoints costs two more.
 const TRIALS_AFTER: [Duration; 2] = [Duration::from_secs(15), Duration::from_secs(150)];
-/// Ends of a request after which there are no trials.
-const TRIED_ENDS_MAX: usize = 5;
-/// An answer speaks for a request for so long: what was answered a moment ago does not end its endpoints now, though all of them may
-/// have ended meanwhile and nobody answers anything. Where the endpoints' software has been replaced, it counts later.
-const SPOKEN_FOR: Duration = Duration::from_secs(20);
-/// Ends at which all VMs are told, so that whoever answers the request can speak for it.
-const TOLD_TO_ALL: usize = 2;
-/// Bytes of a request's label.
+/// Failure bursts from which on a request gets no more trial runs.
+const TRIAL_BURSTS_MAX: usize = 5;
+/// For how long after an answer ends don't count: a request that was answered a moment ago does not
+/// end its endpoints now, even if all of them have ended meanwhile and none is left to answer.
+/// Later ends count, since the endpoints' software may have been replaced.
+const ANSWER_VALID_FOR: Duration = Duration::from_secs(20);
+/// Failure bursts from which on all VMs receive reports, so that any VM that answers the request
+/// can clear it.
+const FLEET_WIDE_BURSTS_MIN: usize = 2;
+/// Longest label of a request; longer ones are truncated.
 const LABEL_BYTES_MAX: usize = 64;
 
-/// One request that endpoints ended under.
+/// A request that was running at endpoints which ended.
 #[derive(Debug, Clone)]
-pub struct Row {
-    /// What it is, for people.
+pub struct TrackedRequest {
+    /// Description of the request for operators.
     pub label: Name,
-    pub ends: Ends,
-    /// When it was last answered whole or released.
+    pub ends: EndpointEnds,
+    /// When it was last answered completely or released.
     pub cleared_at: Option<Duration>,
     pub held_since: Option<Duration>,
-    /// Since when all VMs are told of it.
-    pub concerns_all_since: Option<Duration>,
-    /// On whose word it is held back.
+    /// Since when it is reported to all VMs.
+    pub fleet_wide_since: Option<Duration>,
+    /// Where the evidence came from on which it was quarantined.
     pub by: EvidenceSource,
     pub trials: usize,
     pub changed_at: Duration,
 }
 
-impl Row {
-    /// Nothing is held against it yet; `cleared_at` when it was last answered.
-    pub fn new(now: Duration, label: &str, cleared_at: Option<Duration>) -> Row {
-        Row {
-            label: shortened(label),
-            ends: Ends::default(),
+impl TrackedRequest {
+    /// Creates a request without evidence against it; `cleared_at` is the time of its last answer.
+    pub fn new(now: Duration, label: &str, cleared_at: Option<Duration>) -> TrackedRequest {
+        TrackedRequest {
+            label: truncated(label),
+            ends: EndpointEnds::default(),
             cleared_at,
             held_since: None,
-            concerns_all_since: None,
+            fleet_wide_since: None,
             by: EvidenceSource::Own,
             trials: 0,
             changed_at: now,
         }
     }
 
-    /// When it may run again, for good or on trial; `None` while it is not held back.
-    pub fn back_at(&self) -> Option<Duration> {
+    /// When it may run again, for good or as a trial run; `None` while it is not quarantined.
+    pub fn next_run_at(&self) -> Option<Duration> {
         let since = self.held_since?;
-        let tries = self.held_against() < TRIED_ENDS_MAX;
+        let tries = self.failure_bursts() < TRIAL_BURSTS_MAX;
         let trial = TRIALS_AFTER.get(self.trials).filter(|_| tries);
-        Some(trial.map_or(self.forgotten_at(), |after| since + *after))
+        Some(trial.map_or(self.expires_at(), |after| since + *after))
     }
 
-    /// A time after the last end, so that all VMs forget it at once and none is told of it again by another.
-    pub fn forgotten_at(&self) -> Duration {
+    /// When it is forgotten. Counted from the last end or answer, so that all VMs forget it at the
+    /// same time and none learns it again from another.
+    pub fn expires_at(&self) -> Duration {
         self.ends.last_at().max(self.cleared_at.unwrap_or_default()) + HOLD_TIME
     }
 
-    /// Occasions on which endpoints ended under it since something spoke for it.
-    pub fn held_against(&self) -> usize {
-        self.ends.since(self.cleared_until())
+    /// Failure bursts since it was last cleared.
+    pub fn failure_bursts(&self) -> usize {
+        self.ends.bursts_since(self.cleared_until())
     }
 
     /// Ends up to this moment don't count.
     pub fn cleared_until(&self) -> Duration {
-        self.cleared_at.map_or(Duration::ZERO, |at| at + SPOKEN_FOR)
+        self.cleared_at
+            .map_or(Duration::ZERO, |at| at + ANSWER_VALID_FOR)
     }
 
-    /// Takes an end that counts; false when it is known.
-    pub fn add(&mut self, end: End) -> bool {
+    /// Adds an end if it counts; false if it doesn't or is known already.
+    pub fn add_end(&mut self, end: EndpointEnd) -> bool {
         end.at > self.cleared_until() && self.ends.add(end)
     }
 
-    /// Something new is known of it.
-    pub fn changed(&mut self, now: Duration) {
+    /// Records that its state has changed.
+    pub fn mark_changed(&mut self, now: Duration) {
         self.changed_at = now;
-        if self.held_since.is_some() || self.held_against() >= TOLD_TO_ALL {
-            self.concerns_all_since.get_or_insert(now);
+        if self.held_since.is_some() || self.failure_bursts() >= FLEET_WIDE_BURSTS_MIN {
+            self.fleet_wide_since.get_or_insert(now);
         }
     }
 
-    /// Something spoke for it at a moment.
+    /// Clears the ends up to `at`, the time of an answer or a release.
     pub fn clear(&mut self, now: Duration, at: Duration) {
         self.cleared_at = Some(at);
         self.changed_at = now;
-        // An answer may be heard of after what it speaks against was added up.
+        // The report of an answer may arrive after the ends that it clears were counted.
         let earlier = self
             .held_since
             .is_some_and(|since| since <= self.cleared_until());
-        if earlier || self.held_against() < ENDS_MIN {
+        if earlier || self.failure_bursts() < FAILURE_BURSTS_MIN {
             self.held_since = None;
             self.trials = 0;
         }
     }
 }
 
-fn shortened(label: &str) -> Name {
+fn truncated(label: &str) -> Name {
     let ends = label.char_indices().map(|(at, char)| at + char.len_utf8());
     let end = ends.take_while(|end| *end <= LABEL_BYTES_MAX).last();
     label[..end.unwrap_or(0)].into()
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -1,16 +1,16 @@
-//! Limits on the requests of workspaces, kept by all VMs together.
+//! Request quotas of workspaces, enforced by all VMs together without a shared counter.
 //!
-//! Each VM counts what its callers asked for and what it let in over a sliding window, and tells the others. A request
-//! comes in when three conditions hold:
+//! Each VM counts the requests that it received and admitted over a sliding window, and reports the
+//! counts to the other VMs. A request is admitted when three conditions hold:
 //!
 //! | condition | guards against |
 //! | --- | --- |
-//! | what all VMs are known to have let in leaves room below the limit | demand at one VM, or at all |
-//! | what this VM let in and the others may not have heard of is within its share of that room, by demand | demand at many VMs within the time that news takes |
-//! | the shares of VMs that are silent are left free, for as long as they may serve callers that this VM can't see | a failure domain that is cut off and serves on |
+//! | the requests that all VMs are known to have admitted leave room below the limit | demand at one VM, or at all |
+//! | what this VM admitted too recently for the others to know is within its share of that room, by demand | demand at many VMs within the time that reports take |
+//! | the shares of silent VMs stay reserved for as long as these may serve callers unseen by this VM | a failure domain that is cut off and keeps serving |
 //!
-//! Processes that have just started know nothing of what their predecessors let in, so the limit grows with the time for
-//! which the fleet has counted.
+//! Processes that have just started don't know what their predecessors admitted, so the usable part
+//! of the limit grows with the time for which the fleet has counted.
 
 mod counts;
 mod window;
@@ -21,179 +21,187 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::counts::{DomainCounts, WorkspaceCount};
-use self::window::Own;
+use self::window::SlidingWindow;
 use crate::id::{OwnerId, VmId, WorkspaceId};
 
-/// By then all other VMs have heard of what this VM let in, while a workspace is near its limit.
-const HEARD_AFTER: Duration = Duration::from_millis(500);
-/// The same in a large fleet, where word goes by two delegates.
-const HEARD_AFTER_LARGE: Duration = Duration::from_millis(800);
-/// A VM that was not heard for so long may be cut off.
+/// Time within which all other VMs know what this VM admitted, while a workspace is near its limit.
+const REPORT_DELAY: Duration = Duration::from_millis(500);
+/// The same in a large fleet, where a report passes through two delegates.
+const DELEGATED_REPORT_DELAY: Duration = Duration::from_millis(800);
+/// A VM that has sent no report for this long may be cut off.
 const SILENT_AFTER: Duration = Duration::from_millis(1700);
-/// A VM that is silent is taken to serve on for so long. Its own share ends at the same time.
-const HOLD: Duration = Duration::from_secs(12);
-/// Part of a limit that is divided evenly; the rest goes by demand.
-const EVEN_PART: f64 = 0.2;
-/// Requests that are taken to be spread evenly when demand is divided among those that are silent and the rest: a few
-/// requests say little about where the next ones come.
+/// For how long a silent VM is assumed to keep serving. A VM that is cut off reduces its own limit
+/// after the same time.
+const SILENT_HOLD: Duration = Duration::from_secs(12);
+/// Fraction of a limit that is divided evenly among VMs; the rest is divided by demand.
+const EVEN_FRACTION: f64 = 0.2;
+/// Evenly spread requests that are added to the observed demand when the share of a silent VM is
+/// computed: a few requests are a poor estimate of where the next ones arrive.
 const EVEN_REQUESTS: f64 = 10.0;
-/// Part of its limit that a workspace may use at once after a restart of the whole fleet.
-const START_PART: f64 = 0.1;
-/// Part of its limit that a workspace keeps at VMs that have been cut off for longer than [`HOLD`].
-const ISOLATED_PART: f64 = 0.1;
-/// While so much of the limit is free, a VM lets one request in beyond its share: a share of few requests is less
-/// than one.
-const SPARE_PART: f64 = 0.25;
-/// A workspace that uses so much of its limit is known to the processes that start after a restart of the fleet.
-const NEAR_PART: f64 = 0.7;
-/// A workspace that uses so much of its limit is told of at once.
-const PRESSED_PART: f64 = 0.5;
-/// The same for one that used so much of it here since the others last heard: what they don't know may be as much.
-const GROWS_PART: f64 = 0.05;
-/// At the least; a few requests harm nobody.
-const GROWS_MIN: f64 = 3.0;
-/// Demand is remembered for so long, to divide by it when VMs fall silent.
-const DEMAND_MEMORY: Duration = Duration::from_secs(3);
-/// Shortest time after which a refused caller is told to come back.
-const RETRY_MIN: Duration = Duration::from_millis(500);
-
-/// A workspace in what VMs tell each other: half of its id.
+/// Fraction of its limit that a workspace may use immediately after a restart of the whole fleet.
+const RESTART_LIMIT_FRACTION: f64 = 0.1;
+/// Fraction of its limit that a workspace keeps at VMs that have been isolated for longer than
+/// [`SILENT_HOLD`].
+const ISOLATED_LIMIT_FRACTION: f64 = 0.1;
+/// While this fraction of the limit is free, a VM may admit one request beyond its share: a share
+/// of a small limit is less than one request.
+const SPARE_LIMIT_FRACTION: f64 = 0.25;
+/// From this fraction of its limit on, a workspace is recorded in the metadata store, for processes
+/// that start after a restart of the fleet.
+const NEAR_LIMIT_FRACTION: f64 = 0.7;
+/// From this fraction of its limit on, a workspace's counts are reported promptly.
+const PROMPT_REPORT_FRACTION: f64 = 0.5;
+/// The same for requests admitted by this VM that the others don't know of yet: those admitted by
+/// other VMs may be as many.
+const PROMPT_GROWTH_FRACTION: f64 = 0.05;
+/// Lower bound of that growth; a few requests do no harm.
+const PROMPT_GROWTH_MIN: f64 = 3.0;
+/// Age of the demand by which limits are divided when VMs fall silent.
+const DEMAND_AGE_MAX: Duration = Duration::from_secs(3);
+/// Shortest retry delay given to a refused caller.
+const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
+
+/// A workspace in messages between VMs: its 64-bit id folded to 32 bits.
 pub type WorkspaceKey = u32;
 
-/// The key of a workspace.
+/// Folds a workspace's id to its key.
 pub fn workspace_key(workspace: WorkspaceId) -> WorkspaceKey {
     (workspace ^ (workspace >> 32)) as WorkspaceKey
 }
 
-/// Requests that a workspace may make, over all VMs.
+/// Limit on the requests of a workspace at all VMs together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Quota {
     pub rate_per_s: f64,
-    /// On top of the rate.
+    /// Requests on top of the rate, in each window.
     pub burst: f64,
 }
 
 /// How quotas are measured.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaMeasure {
-    /// The window in which requests are counted.
+    /// The sliding window in which requests are counted.
     pub window: Duration,
-    /// Part of a limit by which it may be exceeded for a while.
+    /// Fraction of a limit by which it may be exceeded for a short time.
     pub overage: f64,
-    /// Requests by which any limit may be exceeded for a while.
+    /// Requests by which any limit may be exceeded for a short time.
     pub slack: f64,
 }
 
 impl QuotaMeasure {
-    /// Requests of a workspace in one window, with half of the slack: what it may be exceeded by is for what several VMs let in
-    /// before they hear of each other.
+    /// Requests of a workspace that are admitted in one window, including half of the slack. The
+    /// rest of the allowed excess is left for what several VMs admit before they have received each
+    /// other's counts.
     pub fn limit(&self, quota: Quota) -> f64 {
         let owed = quota.rate_per_s * self.window.as_secs_f64() + quota.burst;
         owed + self.slack / 2.0
     }
 }
 
-/// Who told counts.
+/// Sender of a count report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum CountSource {
-    /// A VM's process.
+    /// A process of a VM.
     Process(OwnerId),
-    /// A delegate, for a failure domain.
+    /// A delegate, on behalf of a failure domain.
     Domain(u64),
 }
 
-/// What is known of the fleet when a request asks to be let in.
+/// What is known of the fleet when quotas are evaluated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetView {
-    /// The metadata store answers this VM.
+    /// Whether the metadata store answers this VM.
     pub store: bool,
-    /// VMs tell their delegates only.
+    /// Whether VMs report to their delegates only.
     pub large: bool,
-    /// VMs that may let requests in, this one included, as far as the store and the others have told.
+    /// VMs that may admit requests, this one included, as last reported by the store and the other
+    /// VMs.
     pub vms: u32,
 }
 
-/// One word of another VM or of a delegate.
+/// Counts reported by another VM or by a delegate.
 #[derive(Debug, Clone)]
 pub struct CountReport<'a> {
-    /// VMs that it stands for.
+    /// Number of VMs that it represents.
     pub vms: u32,
-    /// For how long they have counted, at the most the window.
+    /// For how long they have counted, at most the window.
     pub counted_for: Duration,
-    /// They are about to stop, so that nothing is kept for them once they are silent.
+    /// They are about to stop, so that nothing is reserved for them once they are silent.
     pub leaving: bool,
     pub counts: &'a [WorkspaceCount],
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Told {
+struct ReportedCount {
     at: Duration,
     admitted: u32,
     asked: u32,
 }
 
 #[derive(Debug)]
-struct Row {
+struct SourceReport {
     vms: u32,
     counted_for: Duration,
-    heard_at: Duration,
+    received_at: Duration,
     leaving: bool,
-    counts: HashMap<WorkspaceKey, Told>,
-    /// Its part of all demand, by workspace, when it fell silent; `None` while it is heard.
-    shares: Option<HashMap<WorkspaceKey, f64>>,
+    counts: HashMap<WorkspaceKey, ReportedCount>,
+    /// This source's share of the total demand, by workspace, when it fell silent; `None` while it
+    /// sends reports.
+    silent_shares: Option<HashMap<WorkspaceKey, f64>>,
 }
 
-/// What is used of a workspace's limit, for operators.
+/// Usage of a workspace's limit, for operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct QuotaUse {
     pub workspace: String,
     pub limit: f64,
     pub admitted_here: u32,
     pub asked_here: u32,
-    /// By all VMs, as far as this one has heard.
+    /// By all VMs, as last reported to this one.
     pub admitted: u32,
-    /// Kept for VMs that are silent.
+    /// Reserved for VMs that are silent.
     pub kept_for_silent: f64,
-    /// This VM's part of the limit, by demand.
+    /// This VM's share of the limit, by demand.
     pub share: f64,
 }
 
-/// The quotas of all workspaces as one VM sees them.
+/// The quotas of all workspaces in the local view of one VM.
 #[derive(Debug)]
 pub struct Quotas {
     measure: QuotaMeasure,
     started_at: Duration,
-    own: HashMap<WorkspaceKey, Own>,
-    told: HashMap<CountSource, Row>,
-    /// All demand by workspace, the oldest first.
+    local: HashMap<WorkspaceKey, SlidingWindow>,
+    reports: HashMap<CountSource, SourceReport>,
+    /// Total demand by workspace, the oldest first.
     demand: VecDeque<(Duration, HashMap<WorkspaceKey, u32>)>,
-    /// Since when most of the fleet is silent and the store is away.
-    alone_since: Option<Duration>,
+    /// Since when the store has been unavailable and most of the fleet silent.
+    isolated_since: Option<Duration>,
     /// Workspaces that were near their quotas when this process started.
-    near_before: HashSet<WorkspaceKey>,
-    heard_after: Duration,
-    /// VMs that may let requests in, by the last look.
-    expected: u32,
+    near_limit_at_start: HashSet<WorkspaceKey>,
+    report_delay: Duration,
+    /// VMs that may admit requests, as of the last tick.
+    expected_vms: u32,
 }
 
 impl Quotas {
-    /// No request was counted yet.
+    /// Creates quotas without any counted requests.
     pub fn new(measure: QuotaMeasure, now: Duration) -> Quotas {
         Quotas {
             measure,
             started_at: now,
-            own: HashMap::new(),
-            told: HashMap::new(),
+            local: HashMap::new(),
+            reports: HashMap::new(),
             demand: VecDeque::new(),
-            alone_since: None,
-            near_before: HashSet::new(),
-            heard_after: HEARD_AFTER,
-            expected: 1,
+            isolated_since: None,
+            near_limit_at_start: HashSet::new(),
+            report_delay: REPORT_DELAY,
+            expected_vms: 1,
         }
     }
 
-    /// Lets a request in, or says when its caller may come back. `draw` is uniform in 0 to 1: it rounds shares that are no
-    /// whole numbers, since many VMs with a share of less than one would let nothing in.
+    /// Admits a request, or returns the retry delay. `draw` is uniform in 0 to 1 and rounds
+    /// fractional shares at random: many VMs with a share of less than one request would otherwise
+    /// admit none.
     pub fn admit(
         &mut self,
         now: Duration,
@@ -202,44 +210,44 @@
         draw: f64,
     ) -> Result<(), Duration> {
         let measure = self.measure;
-        let own = self.own.entry(workspace).or_default();
+        let own = self.local.entry(workspace).or_default();
         own.expire(now, measure.window);
-        own.step(now).asked += 1;
-        let state = self.state(now, workspace, quota);
-        match state.fits(draw) {
+        own.current_step(now).asked += 1;
+        let state = self.admission_state(now, workspace, quota);
+        match state.admits(draw) {
             true => {
-                let own = self.own.entry(workspace).or_default();
-                own.step(now).admitted += 1;
+                let own = self.local.entry(workspace).or_default();
+                own.current_step(now).admitted += 1;
                 Ok(())
             }
             false => Err(state.retry_after(measure.window)),
         }
     }
 
-    /// Takes back a request that was let in and never ran.
+    /// Uncounts a request that was admitted but never ran.
     pub fn give_back(&mut self, workspace: WorkspaceKey, admitted_at: Duration) {
-        if let Some(own) = self.own.get_mut(&workspace) {
+        if let Some(own) = self.local.get_mut(&workspace) {
             own.give_back(admitted_at);
         }
     }
 
-    /// Takes what another VM, or a delegate, tells.
+    /// Applies a report from another VM or a delegate.
     pub fn apply_report(&mut self, now: Duration, source: CountSource, word: CountReport<'_>) {
-        let row = self.told.entry(source).or_insert_with(|| Row {
+        let row = self.reports.entry(source).or_insert_with(|| SourceReport {
             vms: 0,
             counted_for: Duration::ZERO,
-            heard_at: now,
+            received_at: now,
             leaving: false,
             counts: HashMap::new(),
-            shares: None,
+            silent_shares: None,
         });
         row.vms = word.vms;
         row.counted_for = word.counted_for;
-        row.heard_at = now;
+        row.received_at = now;
         row.leaving = word.leaving;
-        row.shares = None;
+        row.silent_shares = None;
         for count in word.counts {
-            let told = Told {
+            let told = ReportedCount {
                 at: now,
                 admitted: count.admitted,
                 asked: count.asked,
@@ -248,19 +256,19 @@
         }
     }
 
-    /// A process is gone for certain: nothing is kept for it.
+    /// Records that a process has been replaced and is certainly gone: nothing is reserved for it.
     pub fn replaced(&mut self, owner: OwnerId) {
-        if let Some(row) = self.told.get_mut(&CountSource::Process(owner)) {
+        if let Some(row) = self.reports.get_mut(&CountSource::Process(owner)) {
             row.leaving = true;
         }
     }
 
-    /// A workspace was near its quota a moment before this process started.
+    /// Records that a workspace was near its quota just before this process started.
     pub fn mark_near_limit(&mut self, workspace: WorkspaceKey) {
-        self.near_before.insert(workspace);
+        self.near_limit_at_start.insert(workspace);
     }
 
-    /// Workspaces that use most of their quotas.
+    /// Workspaces that use at least [`NEAR_LIMIT_FRACTION`] of their limits.
     pub fn near_limit(
         &self,
         now: Duration,
@@ -268,64 +276,67 @@
     ) -> Vec<WorkspaceKey> {
         let mut sums: HashMap<WorkspaceKey, WorkspaceCount> = HashMap::new();
         let own = self.counts(now).into_iter();
-        let told = self.told.values();
+        let told = self.reports.values();
         let told = told.flat_map(|row| row.counts_at(now, self.measure.window));
         own.chain(told).for_each(|count| count.add_to(&mut sums));
         let near = |count: &WorkspaceCount| {
             let limit = quota_of(count.workspace).map(|quota| self.measure.limit(quota));
-            limit.is_some_and(|limit| f64::from(count.admitted) >= limit * NEAR_PART)
+            limit.is_some_and(|limit| f64::from(count.admitted) >= limit * NEAR_LIMIT_FRACTION)
         };
         let near = sums.into_values().filter(near);
         near.map(|count| count.workspace).collect()
     }
 
-    /// Forgets what processes told, where a delegate tells it from now on, or the other way round.
+    /// Drops all reports, when processes' reports are replaced by those of delegates or the other
+    /// way round.
     pub fn forget_reports(&mut self) {
-        self.told.clear();
+        self.reports.clear();
     }
 
-    /// Looks at what time alone changes; each few tens of milliseconds.
+    /// Updates what depends on time alone; called every few tens of milliseconds.
     pub fn tick(&mut self, now: Duration, view: FleetView) {
-        self.expected = view.vms;
-        self.heard_after = match view.large {
-            true => HEARD_AFTER_LARGE,
-            false => HEARD_AFTER,
+        self.expected_vms = view.vms;
+        self.report_delay = match view.large {
+            true => DELEGATED_REPORT_DELAY,
+            false => REPORT_DELAY,
         };
-        self.remember_demand(now);
+        self.record_demand(now);
         let before = self.demand.front().map(|(_, demand)| demand);
         let window = self.measure.window;
-        for row in self.told.values_mut() {
-            let silent = now >= row.heard_at + SILENT_AFTER;
-            if silent && !row.leaving && row.shares.is_none() {
-                row.shares = Some(row.shares_of(before));
+        for row in self.reports.values_mut() {
+            let silent = now >= row.received_at + SILENT_AFTER;
+            if silent && !row.leaving && row.silent_shares.is_none() {
+                row.silent_shares = Some(row.demand_shares(before));
             }
         }
-        self.told.retain(|_, row| {
-            let life = if row.leaving { window } else { HOLD };
-            now < row.heard_at + life.max(window)
+        self.reports.retain(|_, row| {
+            let life = if row.leaving { window } else { SILENT_HOLD };
+            now < row.received_at + life.max(window)
         });
-        for own in self.own.values_mut() {
+        for own in self.local.values_mut() {
             own.expire(now, window);
         }
-        self.own.retain(|_, own| !own.is_empty());
-        self.note_alone(now, view);
+        self.local.retain(|_, own| !own.is_empty());
+        self.update_isolation(now, view);
     }
 
-    /// Own counts of all workspaces that asked for something within the window, those with most first.
+    /// Local counts of all workspaces with requests within the window, sorted by requests, the most
+    /// first.
     pub fn counts(&self, now: Duration) -> Vec<WorkspaceCount> {
-        let count = |(workspace, own): (&WorkspaceKey, &Own)| WorkspaceCount {
+        let count = |(workspace, own): (&WorkspaceKey, &SlidingWindow)| WorkspaceCount {
             workspace: *workspace,
             admitted: own.admitted_since(now.saturating_sub(self.measure.window)),
             asked: own.asked_since(now.saturating_sub(self.measure.window)),
         };
-        let mut counts: Vec<WorkspaceCount> = self.own.iter().map(count).collect();
+        let mut counts: Vec<WorkspaceCount> = self.local.iter().map(count).collect();
         counts.retain(|count| count.asked > 0);
         counts.sort_by_key(|count| std::cmp::Reverse((count.asked, count.workspace)));
         counts
     }
 
-    /// Counts of a failure domain: of this VM and of all processes that were heard, also of those that are gone by now.
-    /// `others` are the VMs and their processes of now.
+    /// Counts of a failure domain: those of this VM and of all processes that sent reports,
+    /// including processes that are gone by now. `others` are the domain's current VMs and their
+    /// processes.
     pub fn domain_counts(&self, now: Duration, others: &[(VmId, OwnerId)]) -> DomainCounts {
         let mut sums: HashMap<WorkspaceKey, WorkspaceCount> = HashMap::new();
         let mut by_vm: HashMap<VmId, Vec<WorkspaceCount>> = HashMap::new();
@@ -333,7 +344,7 @@
         self.counts(now)
             .iter()
             .for_each(|count| count.add_to(&mut sums));
-        for (source, row) in &self.told {
+        for (source, row) in &self.reports {
             let CountSource::Process(process) = source else {
                 continue;
             };
@@ -356,29 +367,29 @@
         }
     }
 
-    /// Whether a workspace uses so much of its limit that other VMs are to hear of it at once.
+    /// Whether a workspace uses so much of its limit that its counts must be reported promptly.
     pub fn needs_prompt_report(
         &self,
         now: Duration,
         workspace: WorkspaceKey,
         quota: Quota,
     ) -> bool {
-        let limit = self.measure.limit(quota) * self.counted_part(now, workspace);
+        let limit = self.measure.limit(quota) * self.counted_fraction(now, workspace);
         let admitted = self.admitted_elsewhere(now, workspace) + self.admitted_here(now, workspace);
-        let unheard = self.own.get(&workspace).map_or(0, |own| {
-            own.admitted_since(now.saturating_sub(self.heard_after))
+        let unheard = self.local.get(&workspace).map_or(0, |own| {
+            own.admitted_since(now.saturating_sub(self.report_delay))
         });
-        let grows = f64::from(unheard) >= (limit * GROWS_PART).max(GROWS_MIN);
-        grows || f64::from(admitted) > limit * PRESSED_PART
+        let grows = f64::from(unheard) >= (limit * PROMPT_GROWTH_FRACTION).max(PROMPT_GROWTH_MIN);
+        grows || f64::from(admitted) > limit * PROMPT_REPORT_FRACTION
     }
 
-    /// For how long this VM has counted, at the most the window.
+    /// For how long this VM has counted, at most the window.
     pub fn counted_for(&self, now: Duration) -> Duration {
         let counted = now.saturating_sub(self.started_at);
         counted.min(self.measure.window)
     }
 
-    /// What is used of a workspace's limit.
+    /// Usage of a workspace's limit.
     pub fn used(
         &self,
         now: Duration,
@@ -386,8 +397,8 @@
         workspace: WorkspaceKey,
         quota: Quota,
     ) -> QuotaUse {
-        let state = self.state(now, workspace, quota);
-        let own = self.own.get(&workspace);
+        let state = self.admission_state(now, workspace, quota);
+        let own = self.local.get(&workspace);
         let since = now.saturating_sub(self.measure.window);
         QuotaUse {
             workspace: name.to_owned(),
@@ -395,91 +406,105 @@
             admitted_here: own.map_or(0, |own| own.admitted_since(since)),
             asked_here: own.map_or(0, |own| own.asked_since(since)),
             admitted: state.admitted as u32,
-            kept_for_silent: state.kept,
+            kept_for_silent: state.reserved,
             share: state.share,
         }
     }
 
-    fn state(&self, now: Duration, workspace: WorkspaceKey, quota: Quota) -> State {
+    fn admission_state(
+        &self,
+        now: Duration,
+        workspace: WorkspaceKey,
+        quota: Quota,
+    ) -> AdmissionState {
         let limit = self.measure.limit(quota);
         let here = self.admitted_here(now, workspace);
-        let own = self.own.get(&workspace);
+        let own = self.local.get(&workspace);
         let unheard = own.map_or(0, |own| {
-            own.admitted_since(now.saturating_sub(self.heard_after))
+            own.admitted_since(now.saturating_sub(self.report_delay))
         });
         let asked_here = own.map_or(0, |own| {
             own.asked_since(now.saturating_sub(self.measure.window))
         });
-        // Those that are silent have their part by what is kept for them.
-        let heard = || self.told.values().filter(|row| row.shares.is_none());
+        // Silent VMs are left out: their share is reserved already.
+        let heard = || {
+            self.reports
+                .values()
+                .filter(|row| row.silent_shares.is_none())
+        };
         let window = self.measure.window;
-        let told = heard().filter_map(|row| row.told_at(now, workspace, window));
+        let told = heard().filter_map(|row| row.count_at(now, workspace, window));
         let asked = asked_here + told.map(|told| told.asked).sum::<u32>();
         let others = heard().filter(|row| !row.leaving).map(|row| row.vms);
         let vms = f64::from(1 + others.sum::<u32>());
         let by_demand = f64::from(asked_here) / f64::from(asked.max(1));
-        State {
-            limit: limit * self.counted_part(now, workspace) * self.isolated_part(now),
+        AdmissionState {
+            limit: limit * self.counted_fraction(now, workspace) * self.isolation_fraction(now),
             admitted: f64::from(here + self.admitted_elsewhere(now, workspace)),
-            unheard: f64::from(unheard),
-            kept: self.kept_for_silent(now, workspace, limit),
-            share: ((1.0 - EVEN_PART) * by_demand + EVEN_PART / vms) * self.heard_part(),
+            unreported: f64::from(unheard),
+            reserved: self.reserved_for_silent(now, workspace, limit),
+            share: ((1.0 - EVEN_FRACTION) * by_demand + EVEN_FRACTION / vms)
+                * self.reported_fraction(),
             asked: f64::from(asked),
         }
     }
 
-    /// Part of the fleet that has told of itself since this process started.
+    /// Fraction of the fleet that has sent a report since this process started.
     ///
-    /// The failure: all processes start at once, and each takes it that it is the only one.
-    fn heard_part(&self) -> f64 {
-        let heard = 1 + self.told.values().map(|row| row.vms).sum::<u32>();
-        f64::from(heard) / f64::from(self.expected.max(heard))
+    /// Without this, when all processes start at once, each would assume that it is the only one.
+    fn reported_fraction(&self) -> f64 {
+        let heard = 1 + self.reports.values().map(|row| row.vms).sum::<u32>();
+        f64::from(heard) / f64::from(self.expected_vms.max(heard))
     }
 
     fn admitted_here(&self, now: Duration, workspace: WorkspaceKey) -> u32 {
-        let own = self.own.get(&workspace);
+        let own = self.local.get(&workspace);
         own.map_or(0, |own| {
             own.admitted_since(now.saturating_sub(self.measure.window))
         })
     }
 
     fn admitted_elsewhere(&self, now: Duration, workspace: WorkspaceKey) -> u32 {
-        let rows = self.told.values();
-        let told = rows.filter_map(|row| row.told_at(now, workspace, self.measure.window));
+        let rows = self.reports.values();
+        let told = rows.filter_map(|row| row.count_at(now, workspace, self.measure.window));
         told.map(|told| told.admitted).sum()
     }
 
-    /// All VMs that may let requests in, this one included.
-    fn vms(&self) -> u32 {
-        let others = self.told.values().filter(|row| !row.leaving);
+    /// Number of VMs that may admit requests, this one included.
+    fn fleet_vms(&self) -> u32 {
+        let others = self.reports.values().filter(|row| !row.leaving);
         1 + others.map(|row| row.vms).sum::<u32>()
     }
 
-    /// What silent VMs may have let in, beyond what they are known to have.
-    fn kept_for_silent(&self, now: Duration, workspace: WorkspaceKey, limit: f64) -> f64 {
+    /// Requests that silent VMs may have admitted beyond their last reports.
+    fn reserved_for_silent(&self, now: Duration, workspace: WorkspaceKey, limit: f64) -> f64 {
         let before = self.demand.front();
         let before = before.and_then(|(_, demand)| demand.get(&workspace));
         let before = f64::from(before.copied().unwrap_or(0));
-        let vms = f64::from(self.vms());
-        let kept = |row: &Row| {
-            let shares = row.shares.as_ref()?;
+        let vms = f64::from(self.fleet_vms());
+        let kept = |row: &SourceReport| {
+            let shares = row.silent_shares.as_ref()?;
             let even = f64::from(row.vms) / vms;
             let by_demand = shares.get(&workspace).copied().unwrap_or(0.0);
             let share = (by_demand * before + even * EVEN_REQUESTS) / (before + EVEN_REQUESTS);
-            let told = row.told_at(now, workspace, self.measure.window);
+            let told = row.count_at(now, workspace, self.measure.window);
             let admitted = told.map_or(0, |told| told.admitted);
             Some((limit * share - f64::from(admitted)).max(0.0))
         };
-        self.told.values().filter_map(kept).sum()
+        self.reports.values().filter_map(kept).sum()
     }
 
-    /// Part of the limit that may be used, by how long the fleet has counted.
+    /// Fraction of the limit that may be used, by how long the fleet has counted.
     ///
-    /// The failure: all processes are killed at once while a workspace asks for many times its limit. Those that start in
-    /// their place know nothing of what was let in a second ago, and let as much in again.
-    fn counted_part(&self, now: Duration, workspace: WorkspaceKey) -> f64 {
+    /// Without this, when all processes are killed at once while a workspace sends many times its
+    /// limit, the new processes know nothing of what was admitted a second ago and admit as much
+    /// again.
+    fn counted_fraction(&self, now: Duration, workspace: WorkspaceKey) -> f64 {
         let window = self.measure.window.as_secs_f64();
-        let rows = self.told.values().filter(|row| row.shares.is_none());
+        let rows = self
+            .reports
+            .values()
+            .filter(|row| row.silent_shares.is_none());
         let heard = rows.map(|row| (f64::from(row.vms), row.counted_for));
         let all = heard.chain([(1.0, self.counted_for(now))]);
         let (mut vms, mut counted) = (0.0, 0.0);
@@ -489,10 +514,11 @@
         }
         let counted = counted / vms;
         let own = self.counted_for(now).as_secs_f64() / window;
-        if own >= 1.0 || !self.near_before.contains(&workspace) {
-            return counted.max(START_PART);
+        if own >= 1.0 || !self.near_limit_at_start.contains(&workspace) {
+            return counted.max(RESTART_LIMIT_FRACTION);
         }
-        // VMs that did not start with this one know what was let in before; where there are none it may have been all.
+        // Older VMs know what was admitted before; where there are none, the whole limit may have
+        // been used.
         let older = (counted - own) / (1.0 - own);
         match older >= 0.5 {
             true => counted,
@@ -500,30 +526,33 @@
         }
     }
 
-    fn isolated_part(&self, now: Duration) -> f64 {
-        let long = self.alone_since.is_some_and(|since| now >= since + HOLD);
+    fn isolation_fraction(&self, now: Duration) -> f64 {
+        let long = self
+            .isolated_since
+            .is_some_and(|since| now >= since + SILENT_HOLD);
         if long {
-            ISOLATED_PART
+            ISOLATED_LIMIT_FRACTION
         } else {
             1.0
         }
     }
 
-    fn note_alone(&mut self, now: Duration, view: FleetView) {
-        let heard = |row: &&Row| row.shares.is_none() && !row.leaving;
-        let heard: u32 = self.told.values().filter(heard).map(|row| row.vms).sum();
-        let all = self.vms();
+    fn update_isolation(&mut self, now: Duration, view: FleetView) {
+        let heard = |row: &&SourceReport| row.silent_shares.is_none() && !row.leaving;
+        let heard: u32 = self.reports.values().filter(heard).map(|row| row.vms).sum();
+        let all = self.fleet_vms();
         let alone = !view.store && 2 * (heard + 1) < all;
-        // What was silent for long is forgotten, so that nobody is left to be in the majority.
-        let stays = !view.store && self.alone_since.is_some();
-        self.alone_since = match alone || (stays && heard == 0) {
-            true => self.alone_since.or(Some(now)),
+        // Silent VMs are dropped from the reports after a while; without this rule an isolated VM
+        // would then count itself as the majority.
+        let stays = !view.store && self.isolated_since.is_some();
+        self.isolated_since = match alone || (stays && heard == 0) {
+            true => self.isolated_since.or(Some(now)),
             false => None,
         };
     }
 
-    /// Notes all demand once a second.
-    fn remember_demand(&mut self, now: Duration) {
+    /// Records the total demand once a second.
+    fn record_demand(&mut self, now: Duration) {
         let newest = self.demand.back().map(|(at, _)| *at);
         if newest.is_some_and(|at| now < at + Duration::from_secs(1)) {
             return;
@@ -532,7 +561,7 @@
         for count in self.counts(now) {
             *demand.entry(count.workspace).or_default() += count.asked;
         }
-        for row in self.told.values() {
+        for row in self.reports.values() {
             for (workspace, told) in &row.counts {
                 if now < told.at + self.measure.window {
                     *demand.entry(*workspace).or_default() += told.asked;
@@ -540,52 +569,58 @@
             }
         }
         self.demand.push_back((now, demand));
-        while self.demand.len() > 1 && now >= self.demand[1].0 + DEMAND_MEMORY {
+        while self.demand.len() > 1 && now >= self.demand[1].0 + DEMAND_AGE_MAX {
             self.demand.pop_front();
         }
     }
 }
 
-/// What decides on one request.
+/// Input of the decision on one request.
 #[derive(Debug, Clone, Copy)]
-struct State {
+struct AdmissionState {
     limit: f64,
-    /// Known to be let in within the window, by all VMs.
+    /// Known to have been admitted within the window by all VMs.
     admitted: f64,
-    /// Let in here of late, so that the others may not know of it.
-    unheard: f64,
-    kept: f64,
+    /// Admitted here too recently for the other VMs to know.
+    unreported: f64,
+    reserved: f64,
     share: f64,
     asked: f64,
 }
 
-impl State {
-    fn fits(&self, draw: f64) -> bool {
-        let room = self.limit - self.kept - self.admitted;
+impl AdmissionState {
+    fn admits(&self, draw: f64) -> bool {
+        let room = self.limit - self.reserved - self.admitted;
         if room < 1.0 {
             return false;
         }
-        // Room before what this VM let in unheard: its share is one of all of them.
-        let spare = if room >= self.limit * SPARE_PART {
+        // The share is one of the room as it was before the requests that the other VMs don't know
+        // of.
+        let spare = if room >= self.limit * SPARE_LIMIT_FRACTION {
             1.0
         } else {
             0.0
         };
-        self.unheard + draw <= (room + self.unheard) * self.share + spare
+        self.unreported + draw <= (room + self.unreported) * self.share + spare
     }
 
-    /// By then the callers that come back are as many as fit.
+    /// Time after which the expected number of returning callers fits the limit.
     fn retry_after(&self, window: Duration) -> Duration {
         let over = self.asked / self.limit.max(1.0) - 1.0;
         window
             .mul_f64(over.clamp(0.0, 1.0))
-            .clamp(RETRY_MIN, window)
+            .clamp(RETRY_AFTER_MIN, window)
     }
 }
 
-impl Row {
-    /// What was told of a workspace, while it is still within the window.
-    fn told_at(&self, now: Duration, workspace: WorkspaceKey, window: Duration) -> Option<&Told> {
+impl SourceReport {
+    /// The reported count of a workspace, while it is still within the window.
+    fn count_at(
+        &self,
+        now: Duration,
+        workspace: WorkspaceKey,
+        window: Duration,
+    ) -> Option<&ReportedCount> {
         let told = self.counts.get(&workspace);
         told.filter(|told| now < told.at + window)
     }
@@ -595,7 +630,7 @@
             .counts
             .iter()
             .filter(|(_, told)| now < told.at + window);
-        let count = |(workspace, told): (&WorkspaceKey, &Told)| WorkspaceCount {
+        let count = |(workspace, told): (&WorkspaceKey, &ReportedCount)| WorkspaceCount {
             workspace: *workspace,
             admitted: told.admitted,
             asked: told.asked,
@@ -603,8 +638,11 @@
         counts.map(count).collect()
     }
 
-    fn shares_of(&self, demand: Option<&HashMap<WorkspaceKey, u32>>) -> HashMap<WorkspaceKey, f64> {
-        let share = |(workspace, told): (&WorkspaceKey, &Told)| {
+    fn demand_shares(
+        &self,
+        demand: Option<&HashMap<WorkspaceKey, u32>>,
+    ) -> HashMap<WorkspaceKey, f64> {
+        let share = |(workspace, told): (&WorkspaceKey, &ReportedCount)| {
             let all = demand?.get(workspace).copied()?;
             let share = f64::from(told.asked) / f64::from(all.max(told.asked).max(1));
             Some((*workspace, share))
--- a/src/decide/quota/counts.rs
+++ b/src/decide/quota/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of requests as VMs tell them to each other.
+//! Request counts as sent between VMs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 pub struct WorkspaceCount {
     pub workspace: WorkspaceKey,
     pub admitted: u32,
-    /// Admitted or refused.
+    /// Requests received: admitted or refused.
     pub asked: u32,
 }
 
-/// Requests of a failure domain, as its delegate adds them up.
+/// Requests of a failure domain, added up by its delegate.
 #[derive(Debug, Clone, Default)]
 pub struct DomainCounts {
     pub vms: u32,
-    /// On average.
+    /// Average over the VMs.
     pub counted_for: Duration,
-    /// Those with most first.
+    /// Sorted by requests, the most first.
     pub rows: Vec<WorkspaceCount>,
     pub(super) by_vm: HashMap<VmId, Vec<WorkspaceCount>>,
 }
 
 impl DomainCounts {
-    /// The rows without one VM's own requests.
+    /// The rows minus the requests of one VM.
     pub fn without(&self, vm: VmId) -> Vec<WorkspaceCount> {
         let own = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
         let less = |row: &WorkspaceCount| {
--- a/src/decide/quota/window.rs
+++ b/src/decide/quota/window.rs
@@ -1,30 +1,30 @@
-//! Requests of one workspace at this VM, over a sliding window.
+//! Counts of one workspace's requests at this VM, over a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Steps in which the sliding window moves. It counts one step too many, never one too few.
-const STEP: Duration = Duration::from_millis(250);
+/// Step by which the window slides. A sum may include one step too many, never one too few.
+const WINDOW_STEP: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Step {
+pub(super) struct WindowStep {
     number: u64,
     pub(super) admitted: u32,
     pub(super) asked: u32,
 }
 
-/// This VM's own counts of one workspace, the newest step last.
+/// The local counts of one workspace, the newest step last.
 #[derive(Debug, Default)]
-pub(super) struct Own {
-    steps: VecDeque<Step>,
+pub(super) struct SlidingWindow {
+    steps: VecDeque<WindowStep>,
 }
 
-impl Own {
-    /// The step that counts now.
-    pub(super) fn step(&mut self, now: Duration) -> &mut Step {
+impl SlidingWindow {
+    /// Returns the current step.
+    pub(super) fn current_step(&mut self, now: Duration) -> &mut WindowStep {
         let number = step_number(now);
         if self.steps.back().is_none_or(|step| step.number != number) {
-            self.steps.push_back(Step {
+            self.steps.push_back(WindowStep {
                 number,
                 admitted: 0,
                 asked: 0,
@@ -34,7 +34,7 @@
         &mut self.steps[last]
     }
 
-    /// Takes back one request that was let in at this time.
+    /// Uncounts one request that was admitted at this time.
     pub(super) fn give_back(&mut self, admitted_at: Duration) {
         let number = step_number(admitted_at);
         let mut steps = self.steps.iter_mut();
@@ -43,12 +43,12 @@
         }
     }
 
-    /// Whether nothing is counted any more.
+    /// Whether no step is left.
     pub(super) fn is_empty(&self) -> bool {
         self.steps.is_empty()
     }
 
-    /// Forgets what is older than the window.
+    /// Removes steps older than the window.
     pub(super) fn expire(&mut self, now: Duration, window: Duration) {
         let oldest = step_number(now.saturating_sub(window));
         while self.steps.front().is_some_and(|step| step.number < oldest) {
@@ -56,24 +56,24 @@
         }
     }
 
-    /// Requests that were let in.
+    /// Requests admitted since `at`.
     pub(super) fn admitted_since(&self, at: Duration) -> u32 {
         let steps = self.since(at);
         steps.map(|step| step.admitted).sum()
     }
 
-    /// Requests that were let in or refused.
+    /// Requests admitted or refused since `at`.
     pub(super) fn asked_since(&self, at: Duration) -> u32 {
         let steps = self.since(at);
         steps.map(|step| step.asked).sum()
     }
 
-    fn since(&self, at: Duration) -> impl Iterator<Item = &Step> {
+    fn since(&self, at: Duration) -> impl Iterator<Item = &WindowStep> {
         let oldest = step_number(at);
         self.steps.iter().filter(move |step| step.number >= oldest)
     }
 }
 
 fn step_number(at: Duration) -> u64 {
-    (at.as_millis() / STEP.as_millis()) as u64
+    (at.as_millis() / WINDOW_STEP.as_millis()) as u64
 }
--- a/src/serve/quarantine.rs
+++ b/src/serve/quarantine.rs
@@ -1,5 +1,6 @@
-//! Holds requests back that end their endpoints: evidence from runs, word from and to other VMs, the record in the metadata
-//! store, the operators' page. What is decided is in [`crate::decide::quarantine`].
+//! Quarantine of requests that end their endpoints: collects evidence from runs, exchanges reports
+//! with other VMs, keeps the records in the metadata store and serves the operators' page. The
+//! decisions are made in [`crate::decide::quarantine`].
 
 mod records;
 mod telling;
@@ -23,36 +24,39 @@
 use crate::id::EndpointId;
 use crate::util;
 
-/// Shortest time after which a caller is told to come back.
-const RETRY_MIN: Duration = Duration::from_secs(1);
+/// Shortest retry delay given to a caller.
+const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// Bodies that are hashed at each answer, also while nothing is suspected: a hundredth of a millisecond's work.
-const BODY_BYTES_MAX: usize = 16 * 1024;
+/// Longest body that is hashed at each answer while no request is tracked: hashing takes a
+/// hundredth of a millisecond.
+const HASHED_BODY_BYTES_MAX: usize = 16 * 1024;
 
-/// Where a request that is held back may run on trial.
+/// Which VM may execute the trial runs of a quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Trial {
-    /// It comes to this VM alone, as an item does to its job's owner.
+    /// The request is sent by this VM only, as an item is by its job's owner.
     Here,
-    /// It comes to any VM: one of them, alike for all, tries it.
+    /// The request may arrive at any VM: the one that ranks first, the same for all VMs.
     OneOfAll,
 }
 
-/// A run that was under way, for the evidence.
+/// A run that lost its connection.
 pub struct Run<'a> {
     pub out: &'a Outgoing,
     pub target: &'a Target,
     pub ran: Duration,
-    /// It brought something after which another run goes on.
+    /// It delivered output from which another run can resume.
     pub progressed: bool,
 }
 
-/// Present time for the quarantine: what is told may be older than this process, by no more than the quarantine remembers.
-fn now() -> Duration {
+/// Present time for the quarantine. It starts at [`HOLD_TIME`], since reports may be older than
+/// this process by as much as that.
+fn quarantine_now() -> Duration {
     clock::now() + HOLD_TIME
 }
 
-/// Whether a request may be sent to an endpoint now; else when its caller may come back.
+/// Whether a request may be sent to an endpoint now; else the time after which its caller may
+/// retry.
 pub fn admit(node: &Node, out: &Outgoing, trial: Trial) -> Result<(), Duration> {
     if node.core.borrow().quarantine.is_empty() {
         return Ok(());
@@ -63,20 +67,24 @@
     }
     let admitted = {
         let mut core = node.core.borrow_mut();
-        let first = || core.peers.rank(clock::now(), node.vm, fingerprint.key()) == 0;
+        let first = || {
+            core.peers
+                .rank(clock::now(), node.vm, fingerprint.rendezvous_key())
+                == 0
+        };
         let tries = trial == Trial::Here || first();
-        core.quarantine.admit(now(), fingerprint, tries)
+        core.quarantine.admit(quarantine_now(), fingerprint, tries)
     };
-    note_changes(node);
+    publish_changes(node);
     admitted.map_err(|back_in| {
         node.counters.held_back.inc();
-        back_in.max(RETRY_MIN)
+        back_in.max(RETRY_AFTER_MIN)
     })
 }
 
-/// A request was answered whole.
+/// Records that a request got a complete answer.
 pub fn answered(node: &Node, out: &Outgoing) {
-    let long = out.body.len() > BODY_BYTES_MAX;
+    let long = out.body.len() > HASHED_BODY_BYTES_MAX;
     if long && node.core.borrow().quarantine.is_empty() {
         return;
     }
@@ -85,23 +93,26 @@
         let mut core = node.core.borrow_mut();
         let speaks =
             util::rng().random_bool(report::answer_report_share(core.peers.admitting_vms() + 1));
-        core.quarantine.request_answered(now(), fingerprint, speaks);
+        core.quarantine
+            .request_answered(quarantine_now(), fingerprint, speaks);
     }
-    note_changes(node);
+    publish_changes(node);
 }
 
-/// A run has lost its connection: finds out whether its endpoint has ended, and holds that against the request.
+/// Handles a run that lost its connection: finds out whether its endpoint has ended, and counts
+/// that as evidence against the request.
 ///
-/// One connection may be reset, or all of a VM's, while their endpoint serves on; a cut link, a frozen endpoint or one
-/// without power says nothing at all. Only a host whose process is gone turns connections away. One that does
-/// neither is found to have ended by its entry, which lapses.
+/// One connection, or all connections of a VM, may be reset while their endpoint keeps serving; a
+/// cut link, a frozen endpoint or one without power shows no reset at all. Only a host whose
+/// process is gone refuses connections. An endpoint that does not refuse them but has ended is
+/// detected when its entry lapses.
 pub async fn lost(node: &Node, run: Run<'_>) -> bool {
     let endpoint = run.target.endpoint;
     let lost = LostRun {
         fingerprint: run.out.fingerprint(),
         label: run.out.label().into(),
         endpoint,
-        at: now(),
+        at: quarantine_now(),
         ran: run.ran,
         progressed: run.progressed,
     };
@@ -111,7 +122,10 @@
         row.is_some_and(|row| row.leaving.is_none())
     };
     if stays {
-        node.core.borrow_mut().quarantine.run_lost(now(), lost);
+        node.core
+            .borrow_mut()
+            .quarantine
+            .run_lost(quarantine_now(), lost);
     }
     let ended = pool::turns_away(&run.target.address).await;
     log::info!(endpoint = run.target.instance, ended, stays; "a run lost its connection");
@@ -119,21 +133,21 @@
         node.counters.ends.inc();
         endpoint_ended(node, endpoint);
     }
-    note_changes(node);
+    publish_changes(node);
     ended
 }
 
-/// An endpoint is gone that had not said that it leaves.
+/// Records that an endpoint ended without having announced that it drains.
 pub fn endpoint_ended(node: &Node, endpoint: EndpointId) {
     node.core
         .borrow_mut()
         .quarantine
-        .endpoint_ended(now(), endpoint);
-    note_changes(node);
+        .endpoint_ended(quarantine_now(), endpoint);
+    publish_changes(node);
 }
 
-/// Logs and counts what became of requests, and has the others told.
-fn note_changes(node: &Node) {
+/// Logs and counts state changes, and triggers reports to the other VMs.
+fn publish_changes(node: &Node) {
     let changes = {
         let mut core = node.core.borrow_mut();
         let held = core.quarantine.held_count();
@@ -144,12 +158,12 @@
         return;
     }
     for change in &changes {
-        note_change(node, change);
+        log_change(node, change);
     }
     node.tell_quarantine.notify_one();
 }
 
-fn note_change(node: &Node, change: &QuarantineChange) {
+fn log_change(node: &Node, change: &QuarantineChange) {
     let verdict: &'static str = change.verdict.into();
     let by: &'static str = change.by.into();
     let counter = &node.counters.quarantine;
@@ -164,38 +178,38 @@
     );
 }
 
-/// Forgets what is too old.
+/// Removes expired state.
 pub fn tick(node: &Node) {
-    node.core.borrow_mut().quarantine.tick(now());
-    note_changes(node);
+    node.core.borrow_mut().quarantine.tick(quarantine_now());
+    publish_changes(node);
 }
 
 #[derive(Serialize)]
-struct Page<'a> {
+struct OperatorsPage<'a> {
     vm: &'a str,
     requests: Vec<QuarantineListing>,
 }
 
-/// The operators' page of what is suspected and held back.
+/// The operators' page of suspected and quarantined requests.
 pub fn page(node: &Node) -> Bytes {
-    encode(&Page {
+    encode(&OperatorsPage {
         vm: &node.settings.name,
         requests: listed(&node.core.borrow()),
     })
 }
 
-/// What is suspected and held back.
+/// Suspected and quarantined requests.
 pub fn listed(core: &Core) -> Vec<QuarantineListing> {
-    core.quarantine.list(now())
+    core.quarantine.list(quarantine_now())
 }
 
-/// Lets a request run again by an operator's word; false when nothing was held against it here.
+/// Releases a request on an operator's order; false if this VM has no evidence against it.
 pub fn release(node: &Node, fingerprint: Fingerprint) -> bool {
     let released = node
         .core
         .borrow_mut()
         .quarantine
-        .release(now(), fingerprint);
-    note_changes(node);
+        .release(quarantine_now(), fingerprint);
+    publish_changes(node);
     released
 }
--- a/src/serve/quarantine/records.rs
+++ b/src/serve/quarantine/records.rs
@@ -1,4 +1,4 @@
-//! Records of requests that are held back, in the metadata store.
+//! Records of quarantined requests in the metadata store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,49 +6,50 @@
 use serde::{Deserialize, Serialize};
 use tokio::time::sleep;
 
-use super::{note_changes, now};
+use super::{publish_changes, quarantine_now};
 use crate::clock;
 use crate::decide::quarantine::{EvidenceSource, Fingerprint, QuarantineReport, HOLD_TIME};
 use crate::serve::jobs::{encode, write};
 use crate::serve::node::Node;
 use crate::store::{Call, Error, Reply, Txn};
 
-/// Prefix of the records of requests that are held back.
-const RECORDS: &str = "small/held/";
-/// Time between two tries to read or write the records.
-const RECORD_PAUSE: Duration = Duration::from_secs(1);
+/// Prefix of the records' keys.
+const RECORD_PREFIX: &str = "small/held/";
+/// Time between two attempts to read or write the records.
+const RECORD_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A request that is held back, as the metadata store keeps it over a restart of all VMs.
+/// A quarantined request as stored in the metadata store, so that it survives a restart of all VMs.
 #[derive(Serialize, Deserialize)]
-struct Kept {
+struct QuarantineRecord {
     told: QuarantineReport,
-    /// Wall-clock time of the write: an age over a restart of everything is known from nothing else. A clock that
-    /// jumps by seconds moves the end of ten minutes by as much.
+    /// Wall-clock time of the write: after a restart of all VMs there is no other way to tell the
+    /// record's age. A clock that jumps by seconds shifts the end of the ten minutes by as much.
     written_ms: u64,
 }
 
-/// Keeps the records of requests that are held back in the metadata store, until the process ends.
+/// Reads and writes the records of quarantined requests until the process ends.
 ///
-/// The failure: all VMs lose their power or are killed at once, and the request goes on as if nothing had been. A VM reads the
-/// records when it first sees an endpoint end under a request, so that they cost no call on any other day.
+/// Without them, when all VMs lose power or are killed at once, a quarantined request would run
+/// again at once. A VM reads the records when it first tracks a request under which an endpoint
+/// ended, so that they cost no store call otherwise.
 pub async fn keep_records(node: Rc<Node>) {
     let mut read = false;
     let mut written: Vec<Fingerprint> = Vec::new();
     loop {
-        sleep(RECORD_PAUSE / 10).await;
+        sleep(RECORD_RETRY_INTERVAL / 10).await;
         if node.core.borrow().quarantine.is_empty() && written.is_empty() {
-            sleep(RECORD_PAUSE).await;
+            sleep(RECORD_RETRY_INTERVAL).await;
             continue;
         }
         read = read || read_records(&node).await;
         if write_records(&node, &mut written).await.is_err() || !read {
-            sleep(RECORD_PAUSE).await;
+            sleep(RECORD_RETRY_INTERVAL).await;
         }
     }
 }
 
 async fn read_records(node: &Node) -> bool {
-    let items = match node.store.range(RECORDS).await {
+    let items = match node.store.range(RECORD_PREFIX).await {
         Ok((items, _)) => items,
         Err(error) => {
             log::info!(error:% = error; "records of requests that are held back can't be read");
@@ -56,27 +57,28 @@
         }
     };
     for item in items {
-        match serde_json::from_slice::<Kept>(&item.value) {
+        match serde_json::from_slice::<QuarantineRecord>(&item.value) {
             Ok(kept) => {
                 let lain = clock::unix_ms().saturating_sub(kept.written_ms);
                 let told = kept.told.aged(Duration::from_millis(lain));
                 let mut core = node.core.borrow_mut();
                 if core
                     .quarantine
-                    .apply_report(now(), &told, EvidenceSource::Store)
+                    .apply_report(quarantine_now(), &told, EvidenceSource::Store)
                 {
                     core.quarantine.forward(told.fingerprint);
                 }
             }
-            // Of another version of this program, which keeps its own.
+            // Written by another version of the program, which keeps its own records.
             Err(error) => log::warn!(key = item.key, error:% = error; "a record can't be read"),
         }
     }
-    note_changes(node);
+    publish_changes(node);
     true
 }
 
-/// Writes what this VM holds back by its own word, and removes what is held back no more.
+/// Writes records of the requests that this VM itself quarantined, and removes those of requests
+/// that are no longer quarantined.
 async fn write_records(node: &Node, written: &mut Vec<Fingerprint>) -> Result<(), Error> {
     let held = node.core.borrow().quarantine.held_by_local_evidence();
     for fingerprint in &held {
@@ -107,11 +109,11 @@
         .core
         .borrow()
         .quarantine
-        .report(now(), fingerprint, true)
+        .report(quarantine_now(), fingerprint, true)
     else {
         return Ok(());
     };
-    let kept = Kept {
+    let kept = QuarantineRecord {
         told,
         written_ms: clock::unix_ms(),
     };
@@ -129,5 +131,5 @@
 }
 
 fn record_key(fingerprint: Fingerprint) -> String {
-    format!("{RECORDS}{fingerprint}")
+    format!("{RECORD_PREFIX}{fingerprint}")
 }
--- a/src/serve/quarantine/telling.rs
+++ b/src/serve/quarantine/telling.rs
@@ -1,4 +1,4 @@
-//! What VMs tell each other of requests that end their endpoints.
+//! Sends and receives the reports on requests that end their endpoints.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use tokio::net::UdpSocket;
 use tokio::time::{sleep, timeout};
 
-use super::{note_changes, now};
+use super::{publish_changes, quarantine_now};
 use crate::clock;
 use crate::decide::quarantine::{
     report, EvidenceSource, Fingerprint, QuarantineReport, REPORTS_PER_DATAGRAM_MAX,
@@ -18,35 +18,40 @@
 use crate::serve::peers::{seal, Datagram};
 use crate::util;
 
-/// Time between two words of changes.
-const TOLD_AGAIN: Duration = Duration::from_millis(100);
-/// Time between two words to a VM drawn by lot, which may have started since the changes were told.
-const SAMPLE: Duration = Duration::from_secs(1);
-/// Changes are told again for so long, in case those that add up have just died.
-const RECENT: Duration = Duration::from_secs(4);
+/// Time between two reports of changes.
+const REPORT_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two reports to a randomly chosen VM, which may have started since the changes were
+/// reported.
+const RANDOM_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Changes are reported repeatedly for this long, in case the aggregators have just died.
+const RECENT_CHANGE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Tells the other VMs until the process ends.
+/// Reports changes to the other VMs until the process ends.
 pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut again: Vec<Fingerprint> = Vec::new();
     loop {
-        let pause = if again.is_empty() { SAMPLE } else { TOLD_AGAIN };
+        let pause = if again.is_empty() {
+            RANDOM_REPORT_INTERVAL
+        } else {
+            REPORT_INTERVAL
+        };
         let changed = timeout(pause, node.tell_quarantine.notified())
             .await
             .is_ok();
         let untold = node.core.borrow_mut().quarantine.take_unreported();
-        // Datagrams are lost: each change is told twice.
+        // Datagrams get lost, so each change is sent twice.
         let told: Vec<Fingerprint> = untold.iter().chain(&again).copied().collect();
         again = untold;
         if !told.is_empty() {
-            tell_changes(&node, &socket, &told);
+            report_changes(&node, &socket, &told);
         } else if !changed {
-            sample(&node, &socket);
+            report_to_random_vm(&node, &socket);
         }
-        sleep(TOLD_AGAIN).await;
+        sleep(REPORT_INTERVAL).await;
     }
 }
 
-fn tell_changes(node: &Node, socket: &UdpSocket, which: &[Fingerprint]) {
+fn report_changes(node: &Node, socket: &UdpSocket, which: &[Fingerprint]) {
     let mut by_target: HashMap<(SocketAddr, bool), Vec<Fingerprint>> = HashMap::new();
     {
         let core = node.core.borrow();
@@ -61,12 +66,13 @@
         }
     }
     for ((to, to_all), which) in by_target {
-        tell(node, socket, &which, to, to_all);
+        send_report(node, socket, &which, to, to_all);
     }
 }
 
-/// Tells one VM, drawn by lot, of what is held back, and those that add up once more of what has changed of late.
-fn sample(node: &Node, socket: &UdpSocket) {
+/// Reports the quarantined requests to one randomly chosen VM, and recent changes to the
+/// aggregators once more.
+fn report_to_random_vm(node: &Node, socket: &UdpSocket) {
     if node.core.borrow().quarantine.is_empty() {
         return;
     }
@@ -74,40 +80,47 @@
     if let Some(to) = known.choose(&mut util::rng()) {
         tell_held(node, socket, *to);
     }
-    let moment = now().saturating_sub(RECENT);
+    let moment = quarantine_now().saturating_sub(RECENT_CHANGE_WINDOW);
     let recent = node.core.borrow().quarantine.changed_since(moment);
-    tell_changes(node, socket, &recent);
+    report_changes(node, socket, &recent);
 }
 
-/// Tells one VM of what is held back.
+/// Reports the quarantined requests to one VM.
 ///
-/// The failure: a VM starts anew, knows nothing, and a request that is held back everywhere else runs there once more, at each start.
-/// Whoever hears the new process tells it, before the balancer sends callers there.
+/// Without this, a VM that restarts knows of none, and a request that is quarantined everywhere
+/// else would run there once more after each restart. The VMs that receive the new process's
+/// heartbeat send it this report before the load balancer routes callers there.
 pub fn tell_held(node: &Node, socket: &UdpSocket, to: SocketAddr) {
     let mut held = node.core.borrow().quarantine.held_requests();
     held.truncate(REPORTS_PER_DATAGRAM_MAX);
     if !held.is_empty() {
-        tell(node, socket, &held, to, true);
+        send_report(node, socket, &held, to, true);
     }
 }
 
-fn tell(node: &Node, socket: &UdpSocket, which: &[Fingerprint], to: SocketAddr, to_all: bool) {
+fn send_report(
+    node: &Node,
+    socket: &UdpSocket,
+    which: &[Fingerprint],
+    to: SocketAddr,
+    to_all: bool,
+) {
     for some in which.chunks(REPORTS_PER_DATAGRAM_MAX) {
         let told = {
             let quarantine = &node.core.borrow().quarantine;
             let told = some
                 .iter()
-                .filter_map(|one| quarantine.report(now(), *one, to_all));
+                .filter_map(|one| quarantine.report(quarantine_now(), *one, to_all));
             told.collect()
         };
         if let Some(sealed) = seal(node, &Datagram::Quarantine(told)) {
-            // A datagram that can't be sent is a datagram lost: it is told again.
+            // A failed send is handled like a lost datagram: the report is sent again.
             let _ = socket.try_send_to(&sealed, to);
         }
     }
 }
 
-/// Takes what another VM tells.
+/// Applies reports from another VM.
 pub fn heard(node: &Node, socket: &UdpSocket, told: &[QuarantineReport]) {
     let mut news = Vec::new();
     {
@@ -115,24 +128,24 @@
         for one in told {
             if !core
                 .quarantine
-                .apply_report(now(), one, EvidenceSource::Peer)
+                .apply_report(quarantine_now(), one, EvidenceSource::Peer)
             {
                 continue;
             }
             match one.to_all {
                 true => news.push(one.fingerprint),
-                // This VM is one that adds up.
+                // The report was sent to this VM as an aggregator.
                 false => core.quarantine.forward(one.fingerprint),
             }
         }
     }
-    pass_on(node, socket, &news);
-    note_changes(node);
+    forward(node, socket, &news);
+    publish_changes(node);
     node.tell_quarantine.notify_one();
 }
 
-/// A delegate tells on what all are told, once: only what was news to it.
-fn pass_on(node: &Node, socket: &UdpSocket, news: &[Fingerprint]) {
+/// A delegate forwards reports meant for all VMs, once: only those that were new to it.
+fn forward(node: &Node, socket: &UdpSocket, news: &[Fingerprint]) {
     let targets = {
         let peers = &node.core.borrow().peers;
         let passes_on = peers.is_delegate(node.vm) && !news.is_empty();
@@ -140,6 +153,6 @@
         passes_on.then(|| report::all_targets(peers, own))
     };
     for to in targets.unwrap_or_default() {
-        tell(node, socket, news, to, true);
+        send_report(node, socket, news, to, true);
     }
 }
--- a/src/serve/quotas.rs
+++ b/src/serve/quotas.rs
@@ -1,4 +1,4 @@
-//! Counts requests against the quotas of their workspaces.
+//! Checks requests against the quotas of their workspaces and counts them.
 
 pub mod records;
 
@@ -16,16 +16,17 @@
 use crate::id;
 use crate::util;
 
-/// Where a request was counted.
+/// A request that was counted: its workspace and the time.
 #[derive(Debug, Clone, Copy)]
 pub struct Counted {
     workspace: WorkspaceKey,
     at: Duration,
 }
 
-/// Lets a request in below the quota of its workspace, or says when its caller may come back. `None` where there is no quota.
+/// Admits a request within the quota of its workspace, or returns the retry delay. `None` if there
+/// is no quota.
 pub fn admit(node: &Node, out: &Outgoing) -> Result<Option<Counted>, Duration> {
-    let Some((name, quota)) = of(node, out) else {
+    let Some((name, quota)) = quota_of_request(node, out) else {
         return Ok(None);
     };
     let now = clock::now();
@@ -59,20 +60,20 @@
     Err(after)
 }
 
-/// Takes back a request that never ran.
+/// Uncounts a request that never ran.
 pub fn give_back(node: &Node, counted: Counted) {
     let mut core = node.core.borrow_mut();
     core.quotas.give_back(counted.workspace, counted.at);
 }
 
-fn of(node: &Node, out: &Outgoing) -> Option<(id::Name, Quota)> {
+fn quota_of_request(node: &Node, out: &Outgoing) -> Option<(id::Name, Quota)> {
     let name = out.workspace.clone()?;
     let routes = node.routes()?;
     let quota = routes.workspaces.as_ref()?.named(&name)?.quota?;
     Some((name, quota))
 }
 
-/// What this VM tells the others of its counts.
+/// The counts that this VM reports to the others, at most `counts_max` of them.
 pub fn counts(core: &Core, now: Duration, counts_max: usize) -> QuotaCounts {
     let mut rows = core.quotas.counts(now);
     rows.truncate(counts_max);
@@ -82,7 +83,8 @@
     }
 }
 
-/// Whether a workspace with requests here is near its quota, so that the others are to hear of it soon.
+/// Whether a workspace with requests here is so near its quota that its counts must be reported
+/// promptly.
 pub fn is_pressed(core: &Core, now: Duration, row: &quota::WorkspaceCount) -> bool {
     let quota = core
         .routes
@@ -95,7 +97,7 @@
     routes.workspaces.as_ref()?.by_key(workspace)?.quota
 }
 
-/// What is used of each workspace's quota, for operators: those with requests here.
+/// Quota usage for operators, of each workspace with requests here.
 pub fn uses(core: &Core, now: Duration) -> Vec<QuotaUse> {
     let Some(workspaces) = core
         .routes
--- a/tests/caller_keys.rs
+++ b/tests/caller_keys.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, by keys and rules.
+//! Identification of callers by API keys and the configured workspaces.
 
 use std::time::Duration;
 
@@ -31,20 +31,20 @@
     ])
 }
 
-/// Rules that were proved so long ago.
-fn proved(age: Duration) -> Freshness {
+/// Freshness of a configuration that was confirmed `age` ago.
+fn confirmed(age: Duration) -> Freshness {
     let mut proofs = Freshness::default();
     proofs.confirm(StoreSubject::Rules, NOW - age);
     proofs
 }
 
-fn shown(key: &str) -> Credential {
+fn credential(key: &str) -> Credential {
     Credential::Key(KeyDigest::of(key.as_bytes()))
 }
 
 fn name_of(shown: Credential, public: bool, age: Duration) -> Result<String, RefusalKind> {
     let rules = workspaces();
-    let proofs = proved(age);
+    let proofs = confirmed(age);
     let caller = access::identify_caller(NOW, Some(&rules), public, shown, &proofs)?;
     Ok(caller
         .name()
@@ -54,11 +54,11 @@
 #[test]
 fn keys_found() {
     let young = Duration::from_millis(100);
-    assert_eq!(name_of(shown("a"), false, young), Ok("hall".into()));
-    assert_eq!(name_of(shown("b"), false, young), Ok("hall".into()));
-    assert_eq!(name_of(shown("c"), false, young), Ok("port".into()));
+    assert_eq!(name_of(credential("a"), false, young), Ok("hall".into()));
+    assert_eq!(name_of(credential("b"), false, young), Ok("hall".into()));
+    assert_eq!(name_of(credential("c"), false, young), Ok("port".into()));
     assert_eq!(
-        name_of(shown("d"), false, young),
+        name_of(credential("d"), false, young),
         Err(RefusalKind::Unauthorized)
     );
     assert_eq!(
@@ -71,37 +71,40 @@
     );
 }
 
-// A VM whose rules are old refuses a good key for good; a caller who comes back is served.
+// A VM with a stale configuration must not reject a valid new key for good; the caller may retry.
 #[test]
 fn unsure_comes_back() {
     let old = Duration::from_secs(5);
-    assert_eq!(name_of(shown("d"), false, old), Err(RefusalKind::NotReady));
+    assert_eq!(
+        name_of(credential("d"), false, old),
+        Err(RefusalKind::NotReady)
+    );
     assert_eq!(
         name_of(Credential::Missing, false, old),
         Err(RefusalKind::NotReady)
     );
-    // What is known is served on: an outage of the store would stop everything otherwise.
-    assert_eq!(name_of(shown("a"), false, old), Ok("hall".into()));
+    // Known keys are still accepted, as an outage of the store would otherwise stop all traffic.
+    assert_eq!(name_of(credential("a"), false, old), Ok("hall".into()));
 }
 
 #[test]
 fn public_routes() {
     let young = Duration::from_millis(100);
     assert_eq!(name_of(Credential::Missing, true, young), Ok(String::new()));
-    assert_eq!(name_of(shown("d"), true, young), Ok(String::new()));
-    assert_eq!(name_of(shown("c"), true, young), Ok("port".into()));
+    assert_eq!(name_of(credential("d"), true, young), Ok(String::new()));
+    assert_eq!(name_of(credential("c"), true, young), Ok("port".into()));
 }
 
 #[test]
 fn rules_without_workspaces() {
-    let proofs = proved(Duration::ZERO);
-    for shown in [Credential::Missing, shown("a"), Credential::Unreadable] {
+    let proofs = confirmed(Duration::ZERO);
+    for shown in [Credential::Missing, credential("a"), Credential::Unreadable] {
         let caller = access::identify_caller(NOW, None, false, shown, &proofs);
         assert_eq!(caller, Ok(CallerIdentity::Anyone));
     }
 }
 
-// A digest stands in a log where it was printed for debugging.
+// Guards against digests in the log, through a type that is printed for debugging.
 #[test]
 fn digests_unprinted() {
     let printed = format!("{:?}", workspace("hall", &["a"]));
--- a/tests/quota_play.rs
+++ b/tests/quota_play.rs
@@ -1,4 +1,5 @@
-//! Quotas of workspaces over all VMs, played: the largest use beyond a limit, and what was refused below it.
+//! Simulated quotas over all VMs: the largest use beyond a limit, and the requests refused below
+//! it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,66 +12,66 @@
 
 const STEP_MS: u64 = 50;
 const WORKSPACES: usize = 74;
-/// Requests a second of all workspaces at each VM, on average.
-const RATE_A_VM: f64 = 4.2;
-/// Part of a workspace's quota that it uses in calm hours: one in so much.
-const ROOM: f64 = 1.6;
+/// Average request rate of all workspaces per VM.
+const REQUESTS_PER_S_PER_VM: f64 = 4.2;
+/// Quota of a workspace as a multiple of its average rate.
+const QUOTA_FACTOR: f64 = 1.6;
 const MEASURE: QuotaMeasure = QuotaMeasure {
     window: Duration::from_secs(5),
     overage: 0.1,
     slack: 20.0,
 };
-/// A VM's connections from one caller; callers stay with their VM.
-const CALLERS_MAX: usize = 24;
+/// Most VMs that one workspace's callers are connected to; each caller stays with its VM.
+const CALLER_VMS_MAX: usize = 24;
 /// Time from a kill to the start of the next process.
 const DOWN_MS: u64 = 1200;
-const FAR_MS: u64 = 500;
-const FAR_PRESSED_MS: u64 = 200;
-const FAR_ALL_MS: u64 = 2500;
+const REMOTE_REPORT_MS: u64 = 500;
+const REMOTE_PROMPT_REPORT_MS: u64 = 200;
+const REMOTE_FULL_REPORT_MS: u64 = 2500;
 const ROUND_MS: u64 = 100;
-const MARK_MS: u64 = 200;
+const RECORD_MS: u64 = 200;
 const DELEGATES: usize = 2;
 
-/// How one VM decides.
+/// How a VM decides on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Way {
-    /// The product's.
+enum Policy {
+    /// The algorithm of the product.
     Shares,
     /// Each VM has an even part of each limit.
     Even,
-    /// Whatever is known to be let in, and nothing else.
+    /// Only the requests that are known to be admitted count, without shares.
     Known,
 }
 
 #[derive(Debug, Clone)]
-struct Play {
+struct Simulation {
     vms: usize,
     domains: usize,
-    /// VMs tell their delegates only.
-    large: bool,
-    way: Way,
-    /// Workspace that asks for many times its usual, how many times, and when.
+    /// VMs report to their delegates only.
+    uses_delegates: bool,
+    policy: Policy,
+    /// The overloaded workspace: its rank, the factor on its usual load, start and end in seconds.
     hot: (usize, f64, f64, f64),
-    /// All of its callers are at one VM.
+    /// All callers of each workspace are at one VM.
     one_vm: bool,
-    /// When the first failure domain is cut off.
+    /// When the first failure domain is cut off: start and end in seconds.
     cut: (f64, f64),
-    /// Which part of the VMs is killed, and when.
+    /// Fraction of the VMs that is killed, and when in seconds.
     kill: (f64, f64),
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that is lost.
     loss: f64,
-    /// The quota of the hot workspace, by time: factors of its usual one.
+    /// Quota changes of the hot workspace: time in seconds, factor of its usual quota.
     quota: Vec<(f64, f64)>,
     seconds: f64,
 }
 
-impl Default for Play {
-    fn default() -> Play {
-        Play {
+impl Default for Simulation {
+    fn default() -> Simulation {
+        Simulation {
             vms: 54,
             domains: 3,
-            large: false,
-            way: Way::Shares,
+            uses_delegates: false,
+            policy: Policy::Shares,
             hot: (0, 1.0, 0.0, 0.0),
             one_vm: false,
             cut: (0.0, 0.0),
@@ -82,17 +83,17 @@
     }
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Debug, Default)]
-struct Seen {
+struct Outcome {
     asked: u64,
     refused: u64,
-    /// What one counter for the whole fleet would have let in.
-    owed: u64,
-    /// What was let in less than that.
+    /// Requests that a single counter for the whole fleet would have admitted.
+    admissible: u64,
+    /// How many fewer than that were admitted, summed over the workspaces.
     refused_below: u64,
-    /// The largest use of a window, as a part of what may be used.
-    most: f64,
+    /// Largest use of a window, as a fraction of the allowed maximum.
+    largest_use: f64,
 }
 
 struct Vm {
@@ -100,8 +101,8 @@
     owner: u64,
     down_until: u64,
     started_at: u64,
-    far_at: u64,
-    all_at: u64,
+    remote_report_at: u64,
+    full_report_at: u64,
 }
 
 struct Workspace {
@@ -110,11 +111,11 @@
     quota: Quota,
     /// VMs that its callers are connected to.
     callers: Vec<usize>,
-    /// Let in of late: when.
+    /// When requests were admitted within the window.
     admitted: VecDeque<u64>,
-    /// What one counter for the whole fleet lets in.
+    /// When a single counter for the whole fleet would have admitted them.
     ideal: VecDeque<u64>,
-    let_in: u64,
+    admitted_total: u64,
     owed: u64,
 }
 
@@ -122,15 +123,15 @@
     Duration::from_millis(value)
 }
 
-fn workspaces(play: &Play, rng: &mut SmallRng) -> Vec<Workspace> {
+fn workspaces(play: &Simulation, rng: &mut SmallRng) -> Vec<Workspace> {
     let weight = |at: usize| 1.0 / (at as f64 + 1.0);
     let all: f64 = (0..WORKSPACES).map(weight).sum();
-    let total = RATE_A_VM * play.vms as f64;
+    let total = REQUESTS_PER_S_PER_VM * play.vms as f64;
     let one = |at: usize| {
         let rate_per_s = total * weight(at) / all;
-        let callers = ((play.vms as f64 * weight(at)).ceil() as usize).clamp(1, CALLERS_MAX);
+        let callers = ((play.vms as f64 * weight(at)).ceil() as usize).clamp(1, CALLER_VMS_MAX);
         let callers = if play.one_vm { 1 } else { callers };
-        let quota_s = (rate_per_s * ROOM).ceil();
+        let quota_s = (rate_per_s * QUOTA_FACTOR).ceil();
         Workspace {
             key: at as u32,
             rate_per_s,
@@ -143,15 +144,15 @@
                 .collect(),
             admitted: VecDeque::new(),
             ideal: VecDeque::new(),
-            let_in: 0,
+            admitted_total: 0,
             owed: 0,
         }
     };
     (0..WORKSPACES).map(one).collect()
 }
 
-/// The hours of these callers: much and little by turns.
-fn swing(at_s: f64) -> f64 {
+/// Alternation of low and high load of the callers.
+fn load_factor(at_s: f64) -> f64 {
     if at_s % 6.0 < 3.6 {
         0.391
     } else {
@@ -159,7 +160,7 @@
     }
 }
 
-fn play(play: &Play, seed: u64) -> Seen {
+fn simulate(play: &Simulation, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut rows = workspaces(play, &mut rng);
     let usual = rows[play.hot.0].quota;
@@ -168,13 +169,13 @@
         owner: at as u64,
         down_until: 0,
         started_at: 0,
-        far_at: rng_free(at),
-        all_at: rng_free(at) * 5,
+        remote_report_at: report_offset_ms(at),
+        full_report_at: report_offset_ms(at) * 5,
     };
     let mut vms: Vec<Vm> = (0..play.vms).map(vm).collect();
-    let mut seen = Seen::default();
+    let mut seen = Outcome::default();
     let mut marks = Vec::new();
-    // The first seconds are quiet: processes start before their callers come.
+    // The first seconds are idle: processes start before their callers arrive.
     let start_ms = 10_000;
     let end_ms = start_ms + (play.seconds * 1000.0) as u64;
     let kill_ms = start_ms + (play.kill.1 * 1000.0) as u64;
@@ -184,8 +185,8 @@
         if play.kill.0 > 0.0 && (kill_ms..kill_ms + STEP_MS).contains(&now_ms) {
             kill(play, &mut vms, &marks, now_ms, &mut rng);
         }
-        if now_ms.is_multiple_of(MARK_MS) {
-            // In the store, and read by whoever starts.
+        if now_ms.is_multiple_of(RECORD_MS) {
+            // Recorded in the store, and read by processes that start.
             marks = vms[0]
                 .quotas
                 .near_limit(now, |key| Some(rows[key as usize].quota));
@@ -196,18 +197,19 @@
             rate_per_s: usual.rate_per_s * factor,
             burst: usual.burst * factor,
         };
-        tell(play, &mut vms, &rows, now_ms, at_s, &mut rng);
+        send_reports(play, &mut vms, &rows, now_ms, at_s, &mut rng);
         if at_s < 0.0 {
             continue;
         }
         for (number, workspace) in rows.iter_mut().enumerate() {
             let hot = number == play.hot.0 && (play.hot.2..play.hot.3).contains(&at_s);
             let times = if hot { play.hot.1 } else { 1.0 };
-            let expected = workspace.rate_per_s * swing(at_s) * times * STEP_MS as f64 / 1000.0;
+            let expected =
+                workspace.rate_per_s * load_factor(at_s) * times * STEP_MS as f64 / 1000.0;
             let count = expected as u64 + u64::from(rng.random_bool(expected.fract()));
             for _ in 0..count {
                 let caller = workspace.callers[rng.random_range(0..workspace.callers.len())];
-                let Some(at) = alive(play, &vms, caller, now_ms) else {
+                let Some(at) = reachable_vm(play, &vms, caller, now_ms) else {
                     continue;
                 };
                 let admitted = decide(play, &mut vms, at, workspace, now, rng.random());
@@ -221,7 +223,7 @@
                 match admitted {
                     true => {
                         workspace.admitted.push_back(now_ms);
-                        workspace.let_in += 1;
+                        workspace.admitted_total += 1;
                     }
                     false => seen.refused += 1,
                 }
@@ -233,8 +235,10 @@
             }
         }
     }
-    seen.owed = rows.iter().map(|row| row.owed).sum();
-    let below = rows.iter().map(|row| row.owed.saturating_sub(row.let_in));
+    seen.admissible = rows.iter().map(|row| row.owed).sum();
+    let below = rows
+        .iter()
+        .map(|row| row.owed.saturating_sub(row.admitted_total));
     seen.refused_below = below.sum();
     seen
 }
@@ -245,19 +249,21 @@
     }
 }
 
-/// Spreads the VMs' first words.
-fn rng_free(at: usize) -> u64 {
-    (at as u64 * 37) % FAR_MS
+/// Spreads the VMs' first reports.
+fn report_offset_ms(at: usize) -> u64 {
+    (at as u64 * 37) % REMOTE_REPORT_MS
 }
 
-fn note_use(workspace: &mut Workspace, now_ms: u64, seen: &mut Seen) {
+fn note_use(workspace: &mut Workspace, now_ms: u64, seen: &mut Outcome) {
     expire(&mut workspace.admitted, now_ms);
     let quota = workspace.quota;
     let bound = (quota.rate_per_s * 5.0 + quota.burst) * 1.1 + 20.0;
-    seen.most = seen.most.max(workspace.admitted.len() as f64 / bound);
+    seen.largest_use = seen
+        .largest_use
+        .max(workspace.admitted.len() as f64 / bound);
 }
 
-fn kill(play: &Play, vms: &mut [Vm], marks: &[u32], now_ms: u64, rng: &mut SmallRng) {
+fn kill(play: &Simulation, vms: &mut [Vm], marks: &[u32], now_ms: u64, rng: &mut SmallRng) {
     for vm in vms.iter_mut() {
         if rng.random_bool(play.kill.0) {
             vm.down_until = now_ms + DOWN_MS;
@@ -271,30 +277,30 @@
     }
 }
 
-/// The VM that a caller comes to: another one of its failure domain while its own is down.
-fn alive(play: &Play, vms: &[Vm], at: usize, now_ms: u64) -> Option<usize> {
+/// The VM that a caller reaches: another one of its failure domain while its own is down.
+fn reachable_vm(play: &Simulation, vms: &[Vm], at: usize, now_ms: u64) -> Option<usize> {
     let near = (0..play.vms).map(|step| (at + step * play.domains) % play.vms);
     let mut up = near.filter(|at| now_ms >= vms[*at].down_until);
     up.next()
 }
 
 fn decide(
-    play: &Play,
+    play: &Simulation,
     vms: &mut [Vm],
     at: usize,
     workspace: &Workspace,
     now: Duration,
     draw: f64,
 ) -> bool {
-    let parts = match play.way {
-        Way::Shares | Way::Known => 1.0,
-        Way::Even => play.vms as f64,
+    let parts = match play.policy {
+        Policy::Shares | Policy::Known => 1.0,
+        Policy::Even => play.vms as f64,
     };
     let quota = Quota {
         rate_per_s: workspace.quota.rate_per_s / parts,
         burst: workspace.quota.burst / parts,
     };
-    if play.way == Way::Known {
+    if play.policy == Policy::Known {
         let used = vms[at].quotas.used(now, "", workspace.key, quota);
         let fits = f64::from(used.admitted) + 1.0 <= used.limit;
         let endless = Quota {
@@ -313,8 +319,8 @@
         .is_ok()
 }
 
-/// Whether word from one VM reaches another one.
-fn reaches(play: &Play, from: usize, to: usize, at_s: f64, rng: &mut SmallRng) -> bool {
+/// Whether a message from one VM arrives at another one.
+fn is_delivered(play: &Simulation, from: usize, to: usize, at_s: f64, rng: &mut SmallRng) -> bool {
     let first = |at: usize| at.is_multiple_of(play.domains);
     let (here, there) = (first(from), first(to));
     let cut = here != there && (play.cut.0..play.cut.1).contains(&at_s);
@@ -322,8 +328,8 @@
     !cut && !lost
 }
 
-fn tell(
-    play: &Play,
+fn send_reports(
+    play: &Simulation,
     vms: &mut [Vm],
     rows: &[Workspace],
     now_ms: u64,
@@ -334,12 +340,12 @@
     for vm in vms.iter_mut().filter(|vm| now_ms >= vm.down_until) {
         let view = FleetView {
             store: true,
-            large: play.large,
+            large: play.uses_delegates,
             vms: play.vms as u32,
         };
         vm.quotas.tick(now, view);
     }
-    if play.way == Way::Even {
+    if play.policy == Policy::Even {
         return;
     }
     let pressed = |vm: &Vm, count: &WorkspaceCount| {
@@ -370,25 +376,26 @@
             .filter(|count| pressed(&vms[from], count))
             .copied()
             .collect();
-        let far_pressed = !near_quota.is_empty() && now_ms >= vms[from].far_at + FAR_PRESSED_MS;
-        let far = far_pressed || now_ms >= vms[from].far_at + FAR_MS;
-        let all_far = far && now_ms >= vms[from].all_at + FAR_ALL_MS;
+        let far_pressed = !near_quota.is_empty()
+            && now_ms >= vms[from].remote_report_at + REMOTE_PROMPT_REPORT_MS;
+        let far = far_pressed || now_ms >= vms[from].remote_report_at + REMOTE_REPORT_MS;
+        let all_far = far && now_ms >= vms[from].full_report_at + REMOTE_FULL_REPORT_MS;
         let (owner, counted) = (vms[from].owner, vms[from].quotas.counted_for(now));
         if far {
-            vms[from].far_at = now_ms;
+            vms[from].remote_report_at = now_ms;
         }
         if all_far {
-            vms[from].all_at = now_ms;
+            vms[from].full_report_at = now_ms;
         }
         let domain = from % play.domains;
         for to in (0..vms.len()).filter(|to| *to != from) {
             let near = to % play.domains == domain;
             let delegate = to < DELEGATES * play.domains;
-            if play.large && !(near && delegate) || !(near || far) {
+            if play.uses_delegates && !(near && delegate) || !(near || far) {
                 continue;
             }
             let counts = if near || all_far { &all } else { &near_quota };
-            if now_ms >= vms[to].down_until && reaches(play, from, to, at_s, rng) {
+            if now_ms >= vms[to].down_until && is_delivered(play, from, to, at_s, rng) {
                 if owner >= 1_000_000 {
                     vms[to].quotas.replaced(owner - 1_000_000);
                 }
@@ -401,15 +408,16 @@
                 );
             }
         }
-        if play.large && from < DELEGATES * play.domains {
-            delegate(play, vms, rows, from, now_ms, at_s, rng);
+        if play.uses_delegates && from < DELEGATES * play.domains {
+            send_summary(play, vms, rows, from, now_ms, at_s, rng);
         }
     }
 }
 
-/// A delegate's round: to its failure domain, and each sixth one to the others, whose delegates pass it on.
-fn delegate(
-    play: &Play,
+/// One summary round of a delegate: to its failure domain, and every sixth one to the others, whose
+/// delegates forward it.
+fn send_summary(
+    play: &Simulation,
     vms: &mut [Vm],
     rows: &[Workspace],
     from: usize,
@@ -436,7 +444,7 @@
         let near = to % play.domains == domain;
         let hears_all = near && to < DELEGATES * play.domains;
         let speaks = !hears_all && (near || far) && now_ms >= vm.down_until;
-        if !speaks || !reaches(play, from, to, at_s, rng) {
+        if !speaks || !is_delivered(play, from, to, at_s, rng) {
             continue;
         }
         let rows = if near {
@@ -455,98 +463,120 @@
     }
 }
 
-/// Plays a load over several seeds, and prints what the slowest of them was.
-fn played(name: &str, load: &Play, seeds: u64) -> (f64, f64) {
-    let all: Vec<Seen> = (1..=seeds).map(|seed| play(load, seed)).collect();
-    let most = all.iter().map(|seen| seen.most).fold(0.0, f64::max);
+/// Simulates a load with several seeds; prints and returns the largest use and the fraction refused
+/// below the limit.
+fn simulate_seeds(name: &str, load: &Simulation, seeds: u64) -> (f64, f64) {
+    let all: Vec<Outcome> = (1..=seeds).map(|seed| simulate(load, seed)).collect();
+    let most = all.iter().map(|seen| seen.largest_use).fold(0.0, f64::max);
     let asked: u64 = all.iter().map(|seen| seen.asked).sum();
     let below: u64 = all.iter().map(|seen| seen.refused_below).sum();
     let refused: u64 = all.iter().map(|seen| seen.refused).sum();
-    let owed: u64 = all.iter().map(|seen| seen.owed).sum();
+    let owed: u64 = all.iter().map(|seen| seen.admissible).sum();
     let part = below as f64 / owed as f64;
     println!(
         "{name:28} {:4} VMs {:6}: most {most:.3} of the bound, refused {refused} of {asked}, below the limit {below} ({part:.5})",
         load.vms,
-        format!("{:?}", load.way)
+        format!("{:?}", load.policy)
     );
     (most, part)
 }
 
-fn fleets() -> [Play; 3] {
+fn fleets() -> [Simulation; 3] {
     [
-        Play {
+        Simulation {
             vms: 6,
-            ..Play::default()
+            ..Simulation::default()
         },
-        Play::default(),
-        Play {
+        Simulation::default(),
+        Simulation {
             vms: 295,
             domains: 5,
-            large: true,
-            ..Play::default()
+            uses_delegates: true,
+            ..Simulation::default()
         },
     ]
 }
 
-/// Part of what is owed that may be refused: nothing happens.
-const CALM: f64 = 0.001;
-/// A workspace asks for many times its usual.
-const HOT: f64 = 0.02;
-/// VMs are killed or cut off, and nobody asks for more than usual.
-const FAULT: f64 = 0.01;
+/// Fraction of the admissible requests that may be refused without any fault.
+const REFUSED_MAX_CALM: f64 = 0.001;
+/// While a workspace sends many times its usual load.
+const REFUSED_MAX_HOT: f64 = 0.02;
+/// While VMs are killed or cut off under the usual load.
+const REFUSED_MAX_FAULT: f64 = 0.01;
 /// Both at once.
-const HOT_FAULT: f64 = 0.03;
-/// Processes that know nothing of the ones before them, and callers who ask for many times their limit.
-const RESTART: f64 = 0.1;
+const REFUSED_MAX_HOT_FAULT: f64 = 0.03;
+/// After a restart of the fleet, when the new processes know none of the earlier requests and
+/// callers send many times their limit.
+const REFUSED_MAX_RESTART: f64 = 0.1;
 
 const SURGE_AND_KILL: &str = "all killed, hot just now";
 
-/// All loads, with the part of what is owed that may be refused.
-fn loads() -> Vec<(&'static str, Play, f64)> {
-    let base = Play::default;
-    let hot = |rank: usize| Play {
+/// All loads, with the fraction of admissible requests that may be refused.
+fn loads() -> Vec<(&'static str, Simulation, f64)> {
+    let base = Simulation::default;
+    let hot = |rank: usize| Simulation {
         hot: (rank, 9.0, 8.0, 18.0),
         ..base()
     };
-    let cut = |play: Play| Play {
+    let cut = |play: Simulation| Simulation {
         cut: (9.0, 15.0),
         ..play
     };
-    let kill = |part: f64, at_s: f64, play: Play| Play {
+    let kill = |part: f64, at_s: f64, play: Simulation| Simulation {
         kill: (part, at_s),
         ..play
     };
-    let hot_in_cut = Play {
+    let hot_in_cut = Simulation {
         hot: (0, 9.0, 11.0, 18.0),
         ..cut(base())
     };
-    let one_vm = Play {
+    let one_vm = Simulation {
         one_vm: true,
         ..hot(0)
     };
-    let loss = Play {
+    let loss = Simulation {
         loss: 0.02,
         ..hot(0)
     };
-    let lowered = Play {
+    let lowered = Simulation {
         quota: vec![(6.0, 0.1), (18.0, 1.0)],
         ..base()
     };
     vec![
-        ("calm", base(), CALM),
-        ("nine times, largest", hot(0), HOT),
-        ("nine times, fourth", hot(3), HOT),
-        ("nine times, small", hot(20), HOT),
-        ("all at one VM", one_vm, HOT),
-        ("domain cut, hot meanwhile", hot_in_cut, HOT_FAULT),
-        ("domain cut, calm", cut(base()), FAULT),
-        ("a third killed, hot", kill(0.33, 12.0, hot(0)), HOT_FAULT),
-        ("a third killed, calm", kill(0.33, 12.0, base()), FAULT),
-        ("all killed, hot for long", kill(1.0, 14.0, hot(0)), RESTART),
-        (SURGE_AND_KILL, kill(1.0, 9.5, hot(0)), RESTART),
-        ("all killed, calm", kill(1.0, 12.0, base()), FAULT),
-        ("two in a hundred lost", loss, HOT),
-        ("limit lowered and raised", lowered, HOT),
+        ("calm", base(), REFUSED_MAX_CALM),
+        ("nine times, largest", hot(0), REFUSED_MAX_HOT),
+        ("nine times, fourth", hot(3), REFUSED_MAX_HOT),
+        ("nine times, small", hot(20), REFUSED_MAX_HOT),
+        ("all at one VM", one_vm, REFUSED_MAX_HOT),
+        (
+            "domain cut, hot meanwhile",
+            hot_in_cut,
+            REFUSED_MAX_HOT_FAULT,
+        ),
+        ("domain cut, calm", cut(base()), REFUSED_MAX_FAULT),
+        (
+            "a third killed, hot",
+            kill(0.33, 12.0, hot(0)),
+            REFUSED_MAX_HOT_FAULT,
+        ),
+        (
+            "a third killed, calm",
+            kill(0.33, 12.0, base()),
+            REFUSED_MAX_FAULT,
+        ),
+        (
+            "all killed, hot for long",
+            kill(1.0, 14.0, hot(0)),
+            REFUSED_MAX_RESTART,
+        ),
+        (SURGE_AND_KILL, kill(1.0, 9.5, hot(0)), REFUSED_MAX_RESTART),
+        (
+            "all killed, calm",
+            kill(1.0, 12.0, base()),
+            REFUSED_MAX_FAULT,
+        ),
+        ("two in a hundred lost", loss, REFUSED_MAX_HOT),
+        ("limit lowered and raised", lowered, REFUSED_MAX_HOT),
     ]
 }
 
@@ -554,28 +584,28 @@
 #[ignore = "prints how the ways compare; takes minutes"]
 fn compare_ways() {
     for fleet in fleets() {
-        for way in [Way::Even, Way::Known, Way::Shares] {
+        for way in [Policy::Even, Policy::Known, Policy::Shares] {
             for (name, load, _) in loads() {
-                played(name, &on(&fleet, way, load), 3);
+                simulate_seeds(name, &on_fleet(&fleet, way, load), 3);
             }
         }
     }
 }
 
-/// A load on another fleet.
-fn on(fleet: &Play, way: Way, load: Play) -> Play {
-    Play {
+/// The load on another fleet.
+fn on_fleet(fleet: &Simulation, way: Policy, load: Simulation) -> Simulation {
+    Simulation {
         vms: fleet.vms,
         domains: fleet.domains,
-        large: fleet.large,
-        way,
+        uses_delegates: fleet.uses_delegates,
+        policy: way,
         ..load
     }
 }
 
-fn check(fleet: &Play, seeds: u64, which: impl Fn(&str) -> bool) {
+fn check(fleet: &Simulation, seeds: u64, which: impl Fn(&str) -> bool) {
     for (name, load, below_max) in loads().into_iter().filter(|(name, ..)| which(name)) {
-        let (most, below) = played(name, &on(fleet, Way::Shares, load), seeds);
+        let (most, below) = simulate_seeds(name, &on_fleet(fleet, Policy::Shares, load), seeds);
         assert!(most <= 1.0, "{name}: {most} of the bound");
         assert!(
             below <= below_max,
@@ -584,7 +614,7 @@
     }
 }
 
-// A workspace gets more than its limit, or is refused below it: a few VMs.
+// Guards against a workspace that gets more than its limit, or is refused below it: a few VMs.
 #[test]
 fn small_fleet() {
     check(&fleets()[0], 3, |_| true);
@@ -596,13 +626,14 @@
     check(&fleets()[1], 3, |_| true);
 }
 
-// The same where VMs hear their delegates only.
+// The same where VMs receive counts from their delegates only.
 #[test]
 fn large_fleet() {
     check(&fleets()[2], 1, |name| name != SURGE_AND_KILL);
 }
 
-// The same where all processes are killed a second and a half after a workspace began to ask for nine times its usual.
+// The same where all processes are killed 1.5 s after a workspace began to send nine times its
+// usual load.
 #[test]
 fn large_restart() {
     check(&fleets()[2], 1, |name| name == SURGE_AND_KILL);
