--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -95,9 +95,10 @@
     pub fn endpoint_ended(&mut self, now: Duration, endpoint: EndpointId) {
         self.ended_at.entry(endpoint).or_insert(now);
         let lost = std::mem::take(&mut self.lost_runs).into_iter();
-        let (under, others): (Vec<LostRun>, _) = lost.partition(|run| run.endpoint == endpoint);
+        let (runs_there, others): (Vec<LostRun>, _) =
+            lost.partition(|run| run.endpoint == endpoint);
         self.lost_runs = others.into();
-        for run in under {
+        for run in runs_there {
             self.count_end(now, run);
         }
     }
@@ -107,11 +108,11 @@
             endpoint: run.endpoint,
             at: run.at,
         };
-        let row = self.track(now, run.fingerprint, &run.label);
-        if !row.add_end(end) {
+        let request = self.track(now, run.fingerprint, &run.label);
+        if !request.add_end(end) {
             return;
         }
-        row.mark_changed(now);
+        request.mark_changed(now);
         self.record_change(
             run.fingerprint,
             QuarantineVerdict::Suspected,
@@ -128,32 +129,41 @@
         label: &str,
     ) -> &mut TrackedRequest {
         if !self.tracked.contains_key(&fingerprint) && self.tracked.len() >= TRACKED_REQUESTS_MAX {
-            let oldest = |row: &TrackedRequest| (row.held_since.is_some(), row.changed_at);
-            let oldest = self.tracked.iter().min_by_key(|(_, row)| oldest(row));
+            let oldest =
+                |request: &TrackedRequest| (request.held_since.is_some(), request.changed_at);
+            let oldest = self
+                .tracked
+                .iter()
+                .min_by_key(|(_, request)| oldest(request));
             if let Some(fingerprint) = oldest.map(|(fingerprint, _)| *fingerprint) {
                 self.tracked.remove(&fingerprint);
             }
         }
         let cleared_at = self.recent_answers.last_answer_at(fingerprint);
-        let row = || TrackedRequest::new(now, label, cleared_at);
-        self.tracked.entry(fingerprint).or_insert_with(row)
+        let request = || TrackedRequest::new(now, label, cleared_at);
+        self.tracked.entry(fingerprint).or_insert_with(request)
     }
 
     /// Quarantines a request once it has caused enough failure bursts.
     fn evaluate(&mut self, now: Duration, fingerprint: Fingerprint) {
-        let Some(row) = self.tracked.get(&fingerprint) else {
+        let Some(request) = self.tracked.get(&fingerprint) else {
             return;
         };
         let recent = self
             .ended_at
             .iter()
             .filter(|(_, at)| now < **at + UNRELATED_END_WINDOW);
-        let others = recent.filter(|(endpoint, _)| !row.ends.contains(**endpoint));
-        let others: Vec<Duration> = others.map(|(_, at)| *at).collect();
-        let more = (count_bursts(others) / UNRELATED_BURSTS_PER_STEP).min(THRESHOLD_INCREASE_MAX);
-        let known = row.fleet_wide_since;
-        let known = known.is_some_and(|since| now >= since + ANSWER_REPORT_TIMEOUT);
-        if known && row.held_since.is_none() && row.failure_bursts() >= FAILURE_BURSTS_MIN + more {
+        let unrelated = recent.filter(|(endpoint, _)| !request.ends.contains(**endpoint));
+        let unrelated: Vec<Duration> = unrelated.map(|(_, at)| *at).collect();
+        let increase =
+            (count_bursts(unrelated) / UNRELATED_BURSTS_PER_STEP).min(THRESHOLD_INCREASE_MAX);
+        let fleet_wide_since = request.fleet_wide_since;
+        let all_reported =
+            fleet_wide_since.is_some_and(|since| now >= since + ANSWER_REPORT_TIMEOUT);
+        if all_reported
+            && request.held_since.is_none()
+            && request.failure_bursts() >= FAILURE_BURSTS_MIN + increase
+        {
             self.start_hold(now, fingerprint, now, EvidenceSource::Own);
             self.unreported.push(fingerprint);
         }
@@ -166,12 +176,12 @@
         since: Duration,
         by: EvidenceSource,
     ) {
-        let Some(row) = self.tracked.get_mut(&fingerprint) else {
+        let Some(request) = self.tracked.get_mut(&fingerprint) else {
             return;
         };
-        row.held_since = Some(since);
-        row.by = by;
-        row.mark_changed(now);
+        request.held_since = Some(since);
+        request.by = by;
+        request.mark_changed(now);
         self.record_change(fingerprint, QuarantineVerdict::Held, by);
     }
 
@@ -181,19 +191,19 @@
         &mut self,
         now: Duration,
         fingerprint: Fingerprint,
-        tries: bool,
+        runs_trial: bool,
     ) -> Result<(), Duration> {
-        let Some(row) = self.tracked.get_mut(&fingerprint) else {
+        let Some(request) = self.tracked.get_mut(&fingerprint) else {
             return Ok(());
         };
-        let Some(back_at) = row.next_run_at() else {
+        let Some(next_run_at) = request.next_run_at() else {
             return Ok(());
         };
-        if now < back_at || !tries || back_at >= row.expires_at() {
-            return Err(back_at.saturating_sub(now));
+        if now < next_run_at || !runs_trial || next_run_at >= request.expires_at() {
+            return Err(next_run_at.saturating_sub(now));
         }
-        row.trials += 1;
-        row.mark_changed(now);
+        request.trials += 1;
+        request.mark_changed(now);
         self.record_change(
             fingerprint,
             QuarantineVerdict::OnTrial,
@@ -206,17 +216,21 @@
     /// Records that a request got a complete answer, which a request that ends its endpoints never
     /// gets. `reports` is true if other VMs are to be told: all VMs answer a common request at the
     /// same moment, and reports from a few of them suffice.
-    pub fn request_answered(&mut self, now: Duration, fingerprint: Fingerprint, speaks: bool) {
+    pub fn request_answered(&mut self, now: Duration, fingerprint: Fingerprint, reports: bool) {
         self.recent_answers.record(now, fingerprint);
-        let told = |row: &TrackedRequest| {
-            row.cleared_at
+        let recently_reported = |request: &TrackedRequest| {
+            request
+                .cleared_at
                 .is_some_and(|at| now < at + ANSWER_REPORT_INTERVAL)
         };
-        let due = self.tracked.get(&fingerprint).is_some_and(|row| !told(row));
+        let due = self
+            .tracked
+            .get(&fingerprint)
+            .is_some_and(|request| !recently_reported(request));
         if due {
             self.clear(now, fingerprint, EvidenceSource::Own);
         }
-        if due && speaks {
+        if due && reports {
             self.unreported.push(fingerprint);
         }
     }
@@ -232,15 +246,15 @@
 
     /// Clears the evidence against a request; false if there was none.
     fn clear(&mut self, now: Duration, fingerprint: Fingerprint, by: EvidenceSource) -> bool {
-        let Some(row) = self.tracked.get_mut(&fingerprint) else {
+        let Some(request) = self.tracked.get_mut(&fingerprint) else {
             return false;
         };
-        let guilty = row.failure_bursts() > 0;
-        row.clear(now, now);
-        if guilty {
+        let had_evidence = request.failure_bursts() > 0;
+        request.clear(now, now);
+        if had_evidence {
             self.record_change(fingerprint, QuarantineVerdict::Cleared, by);
         }
-        guilty
+        had_evidence
     }
 
     /// Applies a report from another VM or from the record in the metadata store; true if it
@@ -248,54 +262,54 @@
     pub fn apply_report(
         &mut self,
         now: Duration,
-        told: &QuarantineReport,
+        report: &QuarantineReport,
         by: EvidenceSource,
     ) -> bool {
-        let fingerprint = told.fingerprint;
-        if told.ends(now).all(|end| now >= end.at + HOLD_TIME) {
+        let fingerprint = report.fingerprint;
+        if report.ends(now).all(|end| now >= end.at + HOLD_TIME) {
             return false;
         }
-        let row = self.track(now, fingerprint, &told.label);
-        let mut news = false;
-        for end in told.ends(now) {
-            news |= row.add_end(end);
+        let request = self.track(now, fingerprint, &report.label);
+        let mut is_new = false;
+        for end in report.ends(now) {
+            is_new |= request.add_end(end);
         }
-        let trials = usize::from(told.trials);
-        news |= trials > row.trials;
-        row.trials = row.trials.max(trials);
-        if news {
-            row.mark_changed(now);
+        let trials = usize::from(report.trials);
+        is_new |= trials > request.trials;
+        request.trials = request.trials.max(trials);
+        if is_new {
+            request.mark_changed(now);
         }
-        for end in told.ends(now) {
+        for end in report.ends(now) {
             self.ended_at.entry(end.endpoint).or_insert(end.at);
         }
-        news |= self.apply_reported_answer(now, told, by);
-        news |= self.apply_reported_hold(now, told, by);
+        is_new |= self.apply_reported_answer(now, report, by);
+        is_new |= self.apply_reported_hold(now, report, by);
         self.evaluate(now, fingerprint);
-        news
+        is_new
     }
 
     /// Applies a report that a request was answered completely at another VM.
     fn apply_reported_answer(
         &mut self,
         now: Duration,
-        told: &QuarantineReport,
+        report: &QuarantineReport,
         by: EvidenceSource,
     ) -> bool {
-        let (Some(at), Some(row)) = (
-            told.cleared_at(now),
-            self.tracked.get_mut(&told.fingerprint),
+        let (Some(at), Some(request)) = (
+            report.cleared_at(now),
+            self.tracked.get_mut(&report.fingerprint),
         ) else {
             return false;
         };
-        let known = row.cleared_at;
+        let known = request.cleared_at;
         if known.is_some_and(|known| at <= known) {
             return false;
         }
-        let guilty = row.failure_bursts() > 0;
-        row.clear(now, at);
-        if guilty && row.failure_bursts() == 0 {
-            self.record_change(told.fingerprint, QuarantineVerdict::Cleared, by);
+        let had_evidence = request.failure_bursts() > 0;
+        request.clear(now, at);
+        if had_evidence && request.failure_bursts() == 0 {
+            self.record_change(report.fingerprint, QuarantineVerdict::Cleared, by);
         }
         // The latest answer counts, in whichever order the reports arrive; only a much later one is
         // forwarded.
@@ -307,17 +321,19 @@
     fn apply_reported_hold(
         &mut self,
         now: Duration,
-        told: &QuarantineReport,
+        report: &QuarantineReport,
         by: EvidenceSource,
     ) -> bool {
-        let (Some(since), Some(row)) = (told.held_since(now), self.tracked.get(&told.fingerprint))
-        else {
+        let (Some(since), Some(request)) = (
+            report.held_since(now),
+            self.tracked.get(&report.fingerprint),
+        ) else {
             return false;
         };
-        if row.held_since.is_some() || since <= row.cleared_until() {
+        if request.held_since.is_some() || since <= request.cleared_until() {
             return false;
         }
-        self.start_hold(now, told.fingerprint, since, by);
+        self.start_hold(now, report.fingerprint, since, by);
         true
     }
 
@@ -332,20 +348,24 @@
             .retain(|run| now < run.at + evidence::LOST_RUN_LIFETIME);
         self.ended_at
             .retain(|_, at| now < *at + evidence::END_LIFETIME);
-        let over = self
+        let expired = self
             .tracked
             .iter()
-            .filter(|(_, row)| now >= row.expires_at());
-        let over: Vec<Fingerprint> = over.map(|(fingerprint, _)| *fingerprint).collect();
-        let guilty = |row: &TrackedRequest| {
-            row.held_since.is_none() && row.failure_bursts() >= FAILURE_BURSTS_MIN
+            .filter(|(_, request)| now >= request.expires_at());
+        let expired: Vec<Fingerprint> = expired.map(|(fingerprint, _)| *fingerprint).collect();
+        let candidates = |request: &TrackedRequest| {
+            request.held_since.is_none() && request.failure_bursts() >= FAILURE_BURSTS_MIN
         };
-        let guilty = self.tracked.iter().filter(|(_, row)| guilty(row));
-        let guilty: Vec<Fingerprint> = guilty.map(|(fingerprint, _)| *fingerprint).collect();
-        for fingerprint in guilty {
+        let candidates = self
+            .tracked
+            .iter()
+            .filter(|(_, request)| candidates(request));
+        let candidates: Vec<Fingerprint> =
+            candidates.map(|(fingerprint, _)| *fingerprint).collect();
+        for fingerprint in candidates {
             self.evaluate(now, fingerprint);
         }
-        for fingerprint in over {
+        for fingerprint in expired {
             let held = self.tracked[&fingerprint].held_since.is_some();
             if held {
                 self.record_change(
@@ -364,15 +384,15 @@
         verdict: QuarantineVerdict,
         by: EvidenceSource,
     ) {
-        let Some(row) = self.tracked.get(&fingerprint) else {
+        let Some(request) = self.tracked.get(&fingerprint) else {
             return;
         };
         if self.changes.len() < PENDING_CHANGES_MAX {
             self.changes.push(QuarantineChange {
                 fingerprint,
-                label: row.label.clone(),
+                label: request.label.clone(),
                 verdict,
-                ends: row.failure_bursts(),
+                ends: request.failure_bursts(),
                 by,
             });
         }
@@ -385,16 +405,16 @@
 
     /// Returns the requests that have changed since they were last reported to other VMs.
     pub fn take_unreported(&mut self) -> Vec<Fingerprint> {
-        let mut untold = std::mem::take(&mut self.unreported);
-        untold.sort();
-        untold.dedup();
-        untold
+        let mut unreported = std::mem::take(&mut self.unreported);
+        unreported.sort();
+        unreported.dedup();
+        unreported
     }
 
     /// Whether a request is reported to all VMs, not only to the aggregators.
     pub fn is_fleet_wide(&self, fingerprint: Fingerprint) -> bool {
-        let row = self.tracked.get(&fingerprint);
-        row.is_some_and(|row| row.fleet_wide_since.is_some())
+        let request = self.tracked.get(&fingerprint);
+        request.is_some_and(|request| request.fleet_wide_since.is_some())
     }
 
     /// Builds the report on a request for other VMs; `to_all` if all VMs receive it.
@@ -404,8 +424,8 @@
         fingerprint: Fingerprint,
         to_all: bool,
     ) -> Option<QuarantineReport> {
-        let row = self.tracked.get(&fingerprint)?;
-        Some(QuarantineReport::new(now, fingerprint, row, to_all))
+        let request = self.tracked.get(&fingerprint)?;
+        Some(QuarantineReport::new(now, fingerprint, request, to_all))
     }
 
     /// Requests that changed after `moment`. They are reported again in case the aggregators missed
@@ -414,7 +434,7 @@
         let recent = self
             .tracked
             .iter()
-            .filter(|(_, row)| row.changed_at > moment);
+            .filter(|(_, request)| request.changed_at > moment);
         recent.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
@@ -423,52 +443,57 @@
         let held = self
             .tracked
             .iter()
-            .filter(|(_, row)| row.held_since.is_some());
+            .filter(|(_, request)| request.held_since.is_some());
         held.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
     /// Whether a request is quarantined.
     pub fn is_held(&self, fingerprint: Fingerprint) -> bool {
-        let row = self.tracked.get(&fingerprint);
-        row.is_some_and(|row| row.held_since.is_some())
+        let request = self.tracked.get(&fingerprint);
+        request.is_some_and(|request| request.held_since.is_some())
     }
 
     /// Requests that this VM itself has quarantined, from its own observations and reported
     /// evidence, rather than adopted from another VM.
     pub fn held_by_local_evidence(&self) -> Vec<Fingerprint> {
-        let own = |row: &TrackedRequest| row.held_since.is_some() && row.by == EvidenceSource::Own;
-        let rows = self.tracked.iter().filter(|(_, row)| own(row));
+        let is_local = |request: &TrackedRequest| {
+            request.held_since.is_some() && request.by == EvidenceSource::Own
+        };
+        let rows = self.tracked.iter().filter(|(_, request)| is_local(request));
         rows.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
     /// Number of quarantined requests.
     pub fn held_count(&self) -> usize {
         let rows = self.tracked.values();
-        rows.filter(|row| row.held_since.is_some()).count()
+        rows.filter(|request| request.held_since.is_some()).count()
     }
 
     /// Suspected and quarantined requests for operators: quarantined ones first, then by number of
     /// failure bursts.
     pub fn list(&self, now: Duration) -> Vec<QuarantineListing> {
-        let guilty = self
+        let suspected = self
             .tracked
             .iter()
-            .filter(|(_, row)| row.failure_bursts() > 0);
-        let listed = guilty.map(|(fingerprint, row)| QuarantineListing {
+            .filter(|(_, request)| request.failure_bursts() > 0);
+        let listed = suspected.map(|(fingerprint, request)| QuarantineListing {
             fingerprint: fingerprint.to_string(),
-            label: row.label.clone(),
-            ends: row.failure_bursts(),
-            held_for_ms: row
+            label: request.label.clone(),
+            ends: request.failure_bursts(),
+            held_for_ms: request
                 .held_since
                 .map(|since| millis(now.saturating_sub(since))),
             back_in_ms: millis(
-                row.next_run_at()
+                request
+                    .next_run_at()
                     .map_or(Duration::ZERO, |at| at.saturating_sub(now)),
             ),
-            by: row.by,
+            by: request.by,
         });
         let mut listed: Vec<QuarantineListing> = listed.collect();
-        listed.sort_by_key(|row| std::cmp::Reverse((row.held_for_ms.is_some(), row.ends)));
+        listed.sort_by_key(|request| {
+            std::cmp::Reverse((request.held_for_ms.is_some(), request.ends))
+        });
         listed
     }
 }
--- a/src/decide/quarantine/fingerprint.rs
+++ b/src/decide/quarantine/fingerprint.rs
@@ -30,24 +30,24 @@
 
 /// Error for a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, snafu::Snafu)]
-#[snafu(display("not a fingerprint: {} hexadecimal digits are expected", FINGERPRINT_BYTES * 2))]
+#[snafu(display("invalid fingerprint: expected {} hexadecimal digits", FINGERPRINT_BYTES * 2))]
 pub struct InvalidFingerprint;
 
 impl Fingerprint {
     /// Computes the fingerprint of a request.
-    pub fn of(asked: &RequestIdentity<'_>) -> Fingerprint {
+    pub fn of(request: &RequestIdentity<'_>) -> Fingerprint {
         let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
         let head = [
-            asked.caller,
-            asked.method.as_bytes(),
-            asked.host,
-            asked.target.as_bytes(),
+            request.caller,
+            request.method.as_bytes(),
+            request.host,
+            request.target.as_bytes(),
         ];
         for field in head {
             hasher.update(&(field.len() as u64).to_le_bytes());
             hasher.update(field);
         }
-        hasher.update(asked.body);
+        hasher.update(request.body);
         let mut bytes = [0; FINGERPRINT_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Fingerprint(bytes)
--- a/src/decide/quarantine/report.rs
+++ b/src/decide/quarantine/report.rs
@@ -26,15 +26,15 @@
 pub fn report_targets(
     peers: &Peers,
     now: Duration,
-    own: (VmId, DomainId),
+    local: (VmId, DomainId),
     fingerprint: Fingerprint,
-    concerns_all: bool,
+    is_fleet_wide: bool,
 ) -> (Vec<SocketAddr>, bool) {
-    let collectors = peers.aggregators(now, own, fingerprint.rendezvous_key());
-    let collects = collectors.contains(&own.0);
-    match collects && concerns_all {
-        true => (all_targets(peers, own), true),
-        false => (peers.addresses(&collectors), false),
+    let aggregators = peers.aggregators(now, local, fingerprint.rendezvous_key());
+    let is_aggregator = aggregators.contains(&local.0);
+    match is_aggregator && is_fleet_wide {
+        true => (all_targets(peers, local), true),
+        false => (peers.addresses(&aggregators), false),
     }
 }
 
@@ -45,13 +45,13 @@
 
 /// All other VMs in a full mesh; in a large fleet the delegates of the local failure domain, or for
 /// a delegate the VMs of its failure domain and the delegates of the other ones.
-pub fn all_targets(peers: &Peers, (own, home): (VmId, DomainId)) -> Vec<SocketAddr> {
-    if peers.is_delegate(own) {
-        let members = peers.domain_peers(home).into_iter().map(|(_, to)| to);
+pub fn all_targets(peers: &Peers, (vm, domain): (VmId, DomainId)) -> Vec<SocketAddr> {
+    if peers.is_delegate(vm) {
+        let members = peers.domain_peers(domain).into_iter().map(|(_, to)| to);
         return members.chain(peers.remote_delegate_addresses()).collect();
     }
-    let mut others = peers.heartbeat_targets(home, true);
-    others.extend(peers.heartbeat_targets(home, false));
+    let mut others = peers.heartbeat_targets(domain, true);
+    others.extend(peers.heartbeat_targets(domain, false));
     others
 }
 
@@ -77,18 +77,18 @@
     pub(super) fn new(
         now: Duration,
         fingerprint: Fingerprint,
-        row: &TrackedRequest,
+        request: &TrackedRequest,
         to_all: bool,
     ) -> QuarantineReport {
         let age = |at| now.saturating_sub(at).as_millis() as AgeMs;
-        let ends = row.ends.iter().map(|end| (end.endpoint, age(end.at)));
+        let ends = request.ends.iter().map(|end| (end.endpoint, age(end.at)));
         QuarantineReport {
             fingerprint,
-            label: row.label.to_string(),
+            label: request.label.to_string(),
             ends: ends.collect(),
-            cleared: row.cleared_at.map(age),
-            held: row.held_since.map(age),
-            trials: row.trials.min(usize::from(u8::MAX)) as u8,
+            cleared: request.cleared_at.map(age),
+            held: request.held_since.map(age),
+            trials: request.trials.min(usize::from(u8::MAX)) as u8,
             to_all,
         }
     }
@@ -103,22 +103,22 @@
     }
 
     pub(super) fn ends(&self, now: Duration) -> impl Iterator<Item = EndpointEnd> + '_ {
-        let end = move |(endpoint, age): &(EndpointId, AgeMs)| EndpointEnd {
+        let to_end = move |(endpoint, age): &(EndpointId, AgeMs)| EndpointEnd {
             endpoint: *endpoint,
-            at: before(now, *age),
+            at: moment_at_age(now, *age),
         };
-        self.ends.iter().map(end)
+        self.ends.iter().map(to_end)
     }
 
     pub(super) fn cleared_at(&self, now: Duration) -> Option<Duration> {
-        self.cleared.map(|age| before(now, age))
+        self.cleared.map(|age| moment_at_age(now, age))
     }
 
     pub(super) fn held_since(&self, now: Duration) -> Option<Duration> {
-        self.held.map(|age| before(now, age))
+        self.held.map(|age| moment_at_age(now, age))
     }
 }
 
-fn before(now: Duration, age: AgeMs) -> Duration {
+fn moment_at_age(now: Duration, age: AgeMs) -> Duration {
     now.saturating_sub(Duration::from_millis(u64::from(age)))
 }
--- a/src/decide/quarantine/row.rs
+++ b/src/decide/quarantine/row.rs
@@ -63,8 +63,8 @@
     /// When it may run again, for good or as a trial run; `None` while it is not quarantined.
     pub fn next_run_at(&self) -> Option<Duration> {
         let since = self.held_since?;
-        let tries = self.failure_bursts() < TRIAL_BURSTS_MAX;
-        let trial = TRIALS_AFTER.get(self.trials).filter(|_| tries);
+        let has_trials = self.failure_bursts() < TRIAL_BURSTS_MAX;
+        let trial = TRIALS_AFTER.get(self.trials).filter(|_| has_trials);
         Some(trial.map_or(self.expires_at(), |after| since + *after))
     }
 
@@ -103,10 +103,10 @@
         self.cleared_at = Some(at);
         self.changed_at = now;
         // The report of an answer may arrive after the ends that it clears were counted.
-        let earlier = self
+        let held_before = self
             .held_since
             .is_some_and(|since| since <= self.cleared_until());
-        if earlier || self.failure_bursts() < FAILURE_BURSTS_MIN {
+        if held_before || self.failure_bursts() < FAILURE_BURSTS_MIN {
             self.held_since = None;
             self.trials = 0;
         }
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -93,8 +93,8 @@
     /// rest of the allowed excess is left for what several VMs admit before they have received each
     /// other's counts.
     pub fn limit(&self, quota: Quota) -> f64 {
-        let owed = quota.rate_per_s * self.window.as_secs_f64() + quota.burst;
-        owed + self.slack / 2.0
+        let allowed = quota.rate_per_s * self.window.as_secs_f64() + quota.burst;
+        allowed + self.slack / 2.0
     }
 }
 
@@ -210,14 +210,14 @@
         draw: f64,
     ) -> Result<(), Duration> {
         let measure = self.measure;
-        let own = self.local.entry(workspace).or_default();
-        own.expire(now, measure.window);
-        own.current_step(now).asked += 1;
+        let local = self.local.entry(workspace).or_default();
+        local.expire(now, measure.window);
+        local.current_step(now).asked += 1;
         let state = self.admission_state(now, workspace, quota);
         match state.admits(draw) {
             true => {
-                let own = self.local.entry(workspace).or_default();
-                own.current_step(now).admitted += 1;
+                let local = self.local.entry(workspace).or_default();
+                local.current_step(now).admitted += 1;
                 Ok(())
             }
             false => Err(state.retry_after(measure.window)),
@@ -226,14 +226,14 @@
 
     /// Uncounts a request that was admitted but never ran.
     pub fn give_back(&mut self, workspace: WorkspaceKey, admitted_at: Duration) {
-        if let Some(own) = self.local.get_mut(&workspace) {
-            own.give_back(admitted_at);
+        if let Some(local) = self.local.get_mut(&workspace) {
+            local.give_back(admitted_at);
         }
     }
 
     /// Applies a report from another VM or a delegate.
-    pub fn apply_report(&mut self, now: Duration, source: CountSource, word: CountReport<'_>) {
-        let row = self.reports.entry(source).or_insert_with(|| SourceReport {
+    pub fn apply_report(&mut self, now: Duration, source: CountSource, report: CountReport<'_>) {
+        let stored = self.reports.entry(source).or_insert_with(|| SourceReport {
             vms: 0,
             counted_for: Duration::ZERO,
             received_at: now,
@@ -241,25 +241,25 @@
             counts: HashMap::new(),
             silent_shares: None,
         });
-        row.vms = word.vms;
-        row.counted_for = word.counted_for;
-        row.received_at = now;
-        row.leaving = word.leaving;
-        row.silent_shares = None;
-        for count in word.counts {
-            let told = ReportedCount {
+        stored.vms = report.vms;
+        stored.counted_for = report.counted_for;
+        stored.received_at = now;
+        stored.leaving = report.leaving;
+        stored.silent_shares = None;
+        for count in report.counts {
+            let reported = ReportedCount {
                 at: now,
                 admitted: count.admitted,
                 asked: count.asked,
             };
-            row.counts.insert(count.workspace, told);
+            stored.counts.insert(count.workspace, reported);
         }
     }
 
     /// Records that a process has been replaced and is certainly gone: nothing is reserved for it.
     pub fn replaced(&mut self, owner: OwnerId) {
-        if let Some(row) = self.reports.get_mut(&CountSource::Process(owner)) {
-            row.leaving = true;
+        if let Some(report) = self.reports.get_mut(&CountSource::Process(owner)) {
+            report.leaving = true;
         }
     }
 
@@ -275,15 +275,17 @@
         quota_of: impl Fn(WorkspaceKey) -> Option<Quota>,
     ) -> Vec<WorkspaceKey> {
         let mut sums: HashMap<WorkspaceKey, WorkspaceCount> = HashMap::new();
-        let own = self.counts(now).into_iter();
-        let told = self.reports.values();
-        let told = told.flat_map(|row| row.counts_at(now, self.measure.window));
-        own.chain(told).for_each(|count| count.add_to(&mut sums));
-        let near = |count: &WorkspaceCount| {
+        let local = self.counts(now).into_iter();
+        let counts = self.reports.values();
+        let counts = counts.flat_map(|report| report.counts_at(now, self.measure.window));
+        local
+            .chain(counts)
+            .for_each(|count| count.add_to(&mut sums));
+        let is_near = |count: &WorkspaceCount| {
             let limit = quota_of(count.workspace).map(|quota| self.measure.limit(quota));
             limit.is_some_and(|limit| f64::from(count.admitted) >= limit * NEAR_LIMIT_FRACTION)
         };
-        let near = sums.into_values().filter(near);
+        let near = sums.into_values().filter(is_near);
         near.map(|count| count.workspace).collect()
     }
 
@@ -301,32 +303,32 @@
             false => REPORT_DELAY,
         };
         self.record_demand(now);
-        let before = self.demand.front().map(|(_, demand)| demand);
+        let earlier_demand = self.demand.front().map(|(_, demand)| demand);
         let window = self.measure.window;
-        for row in self.reports.values_mut() {
-            let silent = now >= row.received_at + SILENT_AFTER;
-            if silent && !row.leaving && row.silent_shares.is_none() {
-                row.silent_shares = Some(row.demand_shares(before));
+        for report in self.reports.values_mut() {
+            let silent = now >= report.received_at + SILENT_AFTER;
+            if silent && !report.leaving && report.silent_shares.is_none() {
+                report.silent_shares = Some(report.demand_shares(earlier_demand));
             }
         }
-        self.reports.retain(|_, row| {
-            let life = if row.leaving { window } else { SILENT_HOLD };
-            now < row.received_at + life.max(window)
+        self.reports.retain(|_, report| {
+            let lifetime = if report.leaving { window } else { SILENT_HOLD };
+            now < report.received_at + lifetime.max(window)
         });
-        for own in self.local.values_mut() {
-            own.expire(now, window);
+        for local in self.local.values_mut() {
+            local.expire(now, window);
         }
-        self.local.retain(|_, own| !own.is_empty());
+        self.local.retain(|_, local| !local.is_empty());
         self.update_isolation(now, view);
     }
 
     /// Local counts of all workspaces with requests within the window, sorted by requests, the most
     /// first.
     pub fn counts(&self, now: Duration) -> Vec<WorkspaceCount> {
-        let count = |(workspace, own): (&WorkspaceKey, &SlidingWindow)| WorkspaceCount {
+        let count = |(workspace, local): (&WorkspaceKey, &SlidingWindow)| WorkspaceCount {
             workspace: *workspace,
-            admitted: own.admitted_since(now.saturating_sub(self.measure.window)),
-            asked: own.asked_since(now.saturating_sub(self.measure.window)),
+            admitted: local.admitted_since(now.saturating_sub(self.measure.window)),
+            asked: local.asked_since(now.saturating_sub(self.measure.window)),
         };
         let mut counts: Vec<WorkspaceCount> = self.local.iter().map(count).collect();
         counts.retain(|count| count.asked > 0);
@@ -344,16 +346,16 @@
         self.counts(now)
             .iter()
             .for_each(|count| count.add_to(&mut sums));
-        for (source, row) in &self.reports {
+        for (source, report) in &self.reports {
             let CountSource::Process(process) = source else {
                 continue;
             };
-            let counts = row.counts_at(now, self.measure.window);
+            let counts = report.counts_at(now, self.measure.window);
             counts.iter().for_each(|count| count.add_to(&mut sums));
             if let Some((vm, _)) = others.iter().find(|(_, owner)| owner == process) {
                 by_vm.insert(*vm, counts);
                 vms += 1;
-                counted_for += row.counted_for;
+                counted_for += report.counted_for;
             }
         }
         let mut rows: Vec<WorkspaceCount> =
@@ -376,10 +378,11 @@
     ) -> bool {
         let limit = self.measure.limit(quota) * self.counted_fraction(now, workspace);
         let admitted = self.admitted_elsewhere(now, workspace) + self.admitted_here(now, workspace);
-        let unheard = self.local.get(&workspace).map_or(0, |own| {
-            own.admitted_since(now.saturating_sub(self.report_delay))
+        let unreported = self.local.get(&workspace).map_or(0, |local| {
+            local.admitted_since(now.saturating_sub(self.report_delay))
         });
-        let grows = f64::from(unheard) >= (limit * PROMPT_GROWTH_FRACTION).max(PROMPT_GROWTH_MIN);
+        let grows =
+            f64::from(unreported) >= (limit * PROMPT_GROWTH_FRACTION).max(PROMPT_GROWTH_MIN);
         grows || f64::from(admitted) > limit * PROMPT_REPORT_FRACTION
     }
 
@@ -398,13 +401,13 @@
         quota: Quota,
     ) -> QuotaUse {
         let state = self.admission_state(now, workspace, quota);
-        let own = self.local.get(&workspace);
+        let local = self.local.get(&workspace);
         let since = now.saturating_sub(self.measure.window);
         QuotaUse {
             workspace: name.to_owned(),
             limit: self.measure.limit(quota),
-            admitted_here: own.map_or(0, |own| own.admitted_since(since)),
-            asked_here: own.map_or(0, |own| own.asked_since(since)),
+            admitted_here: local.map_or(0, |local| local.admitted_since(since)),
+            asked_here: local.map_or(0, |local| local.asked_since(since)),
             admitted: state.admitted as u32,
             kept_for_silent: state.reserved,
             share: state.share,
@@ -419,29 +422,31 @@
     ) -> AdmissionState {
         let limit = self.measure.limit(quota);
         let here = self.admitted_here(now, workspace);
-        let own = self.local.get(&workspace);
-        let unheard = own.map_or(0, |own| {
-            own.admitted_since(now.saturating_sub(self.report_delay))
+        let local = self.local.get(&workspace);
+        let unreported = local.map_or(0, |local| {
+            local.admitted_since(now.saturating_sub(self.report_delay))
         });
-        let asked_here = own.map_or(0, |own| {
-            own.asked_since(now.saturating_sub(self.measure.window))
+        let asked_here = local.map_or(0, |local| {
+            local.asked_since(now.saturating_sub(self.measure.window))
         });
         // Silent VMs are left out: their share is reserved already.
-        let heard = || {
+        let reporting = || {
             self.reports
                 .values()
-                .filter(|row| row.silent_shares.is_none())
+                .filter(|report| report.silent_shares.is_none())
         };
         let window = self.measure.window;
-        let told = heard().filter_map(|row| row.count_at(now, workspace, window));
-        let asked = asked_here + told.map(|told| told.asked).sum::<u32>();
-        let others = heard().filter(|row| !row.leaving).map(|row| row.vms);
+        let reported = reporting().filter_map(|report| report.count_at(now, workspace, window));
+        let asked = asked_here + reported.map(|reported| reported.asked).sum::<u32>();
+        let others = reporting()
+            .filter(|report| !report.leaving)
+            .map(|report| report.vms);
         let vms = f64::from(1 + others.sum::<u32>());
         let by_demand = f64::from(asked_here) / f64::from(asked.max(1));
         AdmissionState {
             limit: limit * self.counted_fraction(now, workspace) * self.isolation_fraction(now),
             admitted: f64::from(here + self.admitted_elsewhere(now, workspace)),
-            unreported: f64::from(unheard),
+            unreported: f64::from(unreported),
             reserved: self.reserved_for_silent(now, workspace, limit),
             share: ((1.0 - EVEN_FRACTION) * by_demand + EVEN_FRACTION / vms)
                 * self.reported_fraction(),
@@ -453,45 +458,46 @@
     ///
     /// Without this, when all processes start at once, each would assume that it is the only one.
     fn reported_fraction(&self) -> f64 {
-        let heard = 1 + self.reports.values().map(|row| row.vms).sum::<u32>();
-        f64::from(heard) / f64::from(self.expected_vms.max(heard))
+        let reporting = 1 + self.reports.values().map(|report| report.vms).sum::<u32>();
+        f64::from(reporting) / f64::from(self.expected_vms.max(reporting))
     }
 
     fn admitted_here(&self, now: Duration, workspace: WorkspaceKey) -> u32 {
-        let own = self.local.get(&workspace);
-        own.map_or(0, |own| {
-            own.admitted_since(now.saturating_sub(self.measure.window))
+        let local = self.local.get(&workspace);
+        local.map_or(0, |local| {
+            local.admitted_since(now.saturating_sub(self.measure.window))
         })
     }
 
     fn admitted_elsewhere(&self, now: Duration, workspace: WorkspaceKey) -> u32 {
         let rows = self.reports.values();
-        let told = rows.filter_map(|row| row.count_at(now, workspace, self.measure.window));
-        told.map(|told| told.admitted).sum()
+        let counts = rows.filter_map(|report| report.count_at(now, workspace, self.measure.window));
+        counts.map(|count| count.admitted).sum()
     }
 
     /// Number of VMs that may admit requests, this one included.
     fn fleet_vms(&self) -> u32 {
-        let others = self.reports.values().filter(|row| !row.leaving);
-        1 + others.map(|row| row.vms).sum::<u32>()
+        let others = self.reports.values().filter(|report| !report.leaving);
+        1 + others.map(|report| report.vms).sum::<u32>()
     }
 
     /// Requests that silent VMs may have admitted beyond their last reports.
     fn reserved_for_silent(&self, now: Duration, workspace: WorkspaceKey, limit: f64) -> f64 {
-        let before = self.demand.front();
-        let before = before.and_then(|(_, demand)| demand.get(&workspace));
-        let before = f64::from(before.copied().unwrap_or(0));
+        let earlier_demand = self.demand.front();
+        let earlier_demand = earlier_demand.and_then(|(_, demand)| demand.get(&workspace));
+        let earlier_demand = f64::from(earlier_demand.copied().unwrap_or(0));
         let vms = f64::from(self.fleet_vms());
-        let kept = |row: &SourceReport| {
-            let shares = row.silent_shares.as_ref()?;
-            let even = f64::from(row.vms) / vms;
+        let reserved = |report: &SourceReport| {
+            let shares = report.silent_shares.as_ref()?;
+            let even = f64::from(report.vms) / vms;
             let by_demand = shares.get(&workspace).copied().unwrap_or(0.0);
-            let share = (by_demand * before + even * EVEN_REQUESTS) / (before + EVEN_REQUESTS);
-            let told = row.count_at(now, workspace, self.measure.window);
-            let admitted = told.map_or(0, |told| told.admitted);
+            let share = (by_demand * earlier_demand + even * EVEN_REQUESTS)
+                / (earlier_demand + EVEN_REQUESTS);
+            let reported = report.count_at(now, workspace, self.measure.window);
+            let admitted = reported.map_or(0, |reported| reported.admitted);
             Some((limit * share - f64::from(admitted)).max(0.0))
         };
-        self.reports.values().filter_map(kept).sum()
+        self.reports.values().filter_map(reserved).sum()
     }
 
     /// Fraction of the limit that may be used, by how long the fleet has counted.
@@ -504,22 +510,22 @@
         let rows = self
             .reports
             .values()
-            .filter(|row| row.silent_shares.is_none());
-        let heard = rows.map(|row| (f64::from(row.vms), row.counted_for));
-        let all = heard.chain([(1.0, self.counted_for(now))]);
+            .filter(|report| report.silent_shares.is_none());
+        let reporting = rows.map(|report| (f64::from(report.vms), report.counted_for));
+        let all = reporting.chain([(1.0, self.counted_for(now))]);
         let (mut vms, mut counted) = (0.0, 0.0);
         for (of, counted_for) in all {
             vms += of;
             counted += of * (counted_for.as_secs_f64() / window).min(1.0);
         }
         let counted = counted / vms;
-        let own = self.counted_for(now).as_secs_f64() / window;
-        if own >= 1.0 || !self.near_limit_at_start.contains(&workspace) {
+        let local = self.counted_for(now).as_secs_f64() / window;
+        if local >= 1.0 || !self.near_limit_at_start.contains(&workspace) {
             return counted.max(RESTART_LIMIT_FRACTION);
         }
         // Older VMs know what was admitted before; where there are none, the whole limit may have
         // been used.
-        let older = (counted - own) / (1.0 - own);
+        let older = (counted - local) / (1.0 - local);
         match older >= 0.5 {
             true => counted,
             false => older.max(0.0),
@@ -538,14 +544,19 @@
     }
 
     fn update_isolation(&mut self, now: Duration, view: FleetView) {
-        let heard = |row: &&SourceReport| row.silent_shares.is_none() && !row.leaving;
-        let heard: u32 = self.reports.values().filter(heard).map(|row| row.vms).sum();
+        let reporting = |report: &&SourceReport| report.silent_shares.is_none() && !report.leaving;
+        let reporting: u32 = self
+            .reports
+            .values()
+            .filter(reporting)
+            .map(|report| report.vms)
+            .sum();
         let all = self.fleet_vms();
-        let alone = !view.store && 2 * (heard + 1) < all;
+        let isolated = !view.store && 2 * (reporting + 1) < all;
         // Silent VMs are dropped from the reports after a while; without this rule an isolated VM
         // would then count itself as the majority.
-        let stays = !view.store && self.isolated_since.is_some();
-        self.isolated_since = match alone || (stays && heard == 0) {
+        let was_isolated = !view.store && self.isolated_since.is_some();
+        self.isolated_since = match isolated || (was_isolated && reporting == 0) {
             true => self.isolated_since.or(Some(now)),
             false => None,
         };
@@ -561,10 +572,10 @@
         for count in self.counts(now) {
             *demand.entry(count.workspace).or_default() += count.asked;
         }
-        for row in self.reports.values() {
-            for (workspace, told) in &row.counts {
-                if now < told.at + self.measure.window {
-                    *demand.entry(*workspace).or_default() += told.asked;
+        for report in self.reports.values() {
+            for (workspace, reported) in &report.counts {
+                if now < reported.at + self.measure.window {
+                    *demand.entry(*workspace).or_default() += reported.asked;
                 }
             }
         }
@@ -606,9 +617,9 @@
 
     /// Time after which the expected number of returning callers fits the limit.
     fn retry_after(&self, window: Duration) -> Duration {
-        let over = self.asked / self.limit.max(1.0) - 1.0;
+        let excess = self.asked / self.limit.max(1.0) - 1.0;
         window
-            .mul_f64(over.clamp(0.0, 1.0))
+            .mul_f64(excess.clamp(0.0, 1.0))
             .clamp(RETRY_AFTER_MIN, window)
     }
 }
@@ -621,19 +632,19 @@
         workspace: WorkspaceKey,
         window: Duration,
     ) -> Option<&ReportedCount> {
-        let told = self.counts.get(&workspace);
-        told.filter(|told| now < told.at + window)
+        let reported = self.counts.get(&workspace);
+        reported.filter(|reported| now < reported.at + window)
     }
 
     fn counts_at(&self, now: Duration, window: Duration) -> Vec<WorkspaceCount> {
         let counts = self
             .counts
             .iter()
-            .filter(|(_, told)| now < told.at + window);
-        let count = |(workspace, told): (&WorkspaceKey, &ReportedCount)| WorkspaceCount {
+            .filter(|(_, reported)| now < reported.at + window);
+        let count = |(workspace, reported): (&WorkspaceKey, &ReportedCount)| WorkspaceCount {
             workspace: *workspace,
-            admitted: told.admitted,
-            asked: told.asked,
+            admitted: reported.admitted,
+            asked: reported.asked,
         };
         counts.map(count).collect()
     }
@@ -642,9 +653,9 @@
         &self,
         demand: Option<&HashMap<WorkspaceKey, u32>>,
     ) -> HashMap<WorkspaceKey, f64> {
-        let share = |(workspace, told): (&WorkspaceKey, &ReportedCount)| {
+        let share = |(workspace, reported): (&WorkspaceKey, &ReportedCount)| {
             let all = demand?.get(workspace).copied()?;
-            let share = f64::from(told.asked) / f64::from(all.max(told.asked).max(1));
+            let share = f64::from(reported.asked) / f64::from(all.max(reported.asked).max(1));
             Some((*workspace, share))
         };
         self.counts.iter().filter_map(share).collect()
--- a/src/decide/quota/counts.rs
+++ b/src/decide/quota/counts.rs
@@ -31,16 +31,16 @@
 impl DomainCounts {
     /// The rows minus the requests of one VM.
     pub fn without(&self, vm: VmId) -> Vec<WorkspaceCount> {
-        let own = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
-        let less = |row: &WorkspaceCount| {
-            let own = own.iter().find(|own| own.workspace == row.workspace);
+        let local = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
+        let subtract = |row: &WorkspaceCount| {
+            let local = local.iter().find(|local| local.workspace == row.workspace);
             WorkspaceCount {
                 workspace: row.workspace,
-                admitted: row.admitted - own.map_or(0, |own| own.admitted),
-                asked: row.asked - own.map_or(0, |own| own.asked),
+                admitted: row.admitted - local.map_or(0, |local| local.admitted),
+                asked: row.asked - local.map_or(0, |local| local.asked),
             }
         };
-        self.rows.iter().map(less).collect()
+        self.rows.iter().map(subtract).collect()
     }
 }
 
--- a/src/serve/quarantine/records.rs
+++ b/src/serve/quarantine/records.rs
@@ -21,7 +21,8 @@
 /// A quarantined request as stored in the metadata store, so that it survives a restart of all VMs.
 #[derive(Serialize, Deserialize)]
 struct QuarantineRecord {
-    told: QuarantineReport,
+    #[serde(rename = "told")]
+    report: QuarantineReport,
     /// Wall-clock time of the write: after a restart of all VMs there is no other way to tell the
     /// record's age. A clock that jumps by seconds shifts the end of the ten minutes by as much.
     written_ms: u64,
@@ -52,25 +53,27 @@
     let items = match node.store.range(RECORD_PREFIX).await {
         Ok((items, _)) => items,
         Err(error) => {
-            log::info!(error:% = error; "records of requests that are held back can't be read");
+            log::info!(error:% = error; "cannot read the records of quarantined requests");
             return false;
         }
     };
     for item in items {
         match serde_json::from_slice::<QuarantineRecord>(&item.value) {
-            Ok(kept) => {
-                let lain = clock::unix_ms().saturating_sub(kept.written_ms);
-                let told = kept.told.aged(Duration::from_millis(lain));
+            Ok(record) => {
+                let age_ms = clock::unix_ms().saturating_sub(record.written_ms);
+                let report = record.report.aged(Duration::from_millis(age_ms));
                 let mut core = node.core.borrow_mut();
                 if core
                     .quarantine
-                    .apply_report(quarantine_now(), &told, EvidenceSource::Store)
+                    .apply_report(quarantine_now(), &report, EvidenceSource::Store)
                 {
-                    core.quarantine.forward(told.fingerprint);
+                    core.quarantine.forward(report.fingerprint);
                 }
             }
             // Written by another version of the program, which keeps its own records.
-            Err(error) => log::warn!(key = item.key, error:% = error; "a record can't be read"),
+            Err(error) => {
+                log::warn!(key = item.key, error:% = error; "invalid record of a quarantined request")
+            }
         }
     }
     publish_changes(node);
@@ -87,12 +90,12 @@
             written.push(*fingerprint);
         }
     }
-    let over: Vec<Fingerprint> = written
+    let released: Vec<Fingerprint> = written
         .iter()
         .filter(|one| !node.core.borrow().quarantine.is_held(**one))
         .copied()
         .collect();
-    for fingerprint in over {
+    for fingerprint in released {
         let removal = Txn {
             expect: Vec::new(),
             writes: Vec::new(),
@@ -105,7 +108,7 @@
 }
 
 async fn write_record(node: &Node, fingerprint: Fingerprint) -> Result<(), Error> {
-    let Some(told) = node
+    let Some(report) = node
         .core
         .borrow()
         .quarantine
@@ -113,18 +116,18 @@
     else {
         return Ok(());
     };
-    let kept = QuarantineRecord {
-        told,
+    let record = QuarantineRecord {
+        report,
         written_ms: clock::unix_ms(),
     };
     let Reply::Granted(lease) = node.store.call(Call::Grant { ttl: HOLD_TIME }).await? else {
         return Err(Error::NoLease);
     };
-    let mut record = write(record_key(fingerprint), encode(&kept));
-    record.lease = lease;
+    let mut stored = write(record_key(fingerprint), encode(&record));
+    stored.lease = lease;
     let txn = Txn {
         expect: Vec::new(),
-        writes: vec![record],
+        writes: vec![stored],
         deletes: Vec::new(),
     };
     node.store.try_commit(txn).await.map(|_| ())
--- a/src/serve/quarantine/telling.rs
+++ b/src/serve/quarantine/telling.rs
@@ -28,9 +28,9 @@
 
 /// Reports changes to the other VMs until the process ends.
 pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut again: Vec<Fingerprint> = Vec::new();
+    let mut repeated: Vec<Fingerprint> = Vec::new();
     loop {
-        let pause = if again.is_empty() {
+        let pause = if repeated.is_empty() {
             RANDOM_REPORT_INTERVAL
         } else {
             REPORT_INTERVAL
@@ -38,12 +38,12 @@
         let changed = timeout(pause, node.tell_quarantine.notified())
             .await
             .is_ok();
-        let untold = node.core.borrow_mut().quarantine.take_unreported();
+        let unreported = node.core.borrow_mut().quarantine.take_unreported();
         // Datagrams get lost, so each change is sent twice.
-        let told: Vec<Fingerprint> = untold.iter().chain(&again).copied().collect();
-        again = untold;
-        if !told.is_empty() {
-            report_changes(&node, &socket, &told);
+        let to_report: Vec<Fingerprint> = unreported.iter().chain(&repeated).copied().collect();
+        repeated = unreported;
+        if !to_report.is_empty() {
+            report_changes(&node, &socket, &to_report);
         } else if !changed {
             report_to_random_vm(&node, &socket);
         }
@@ -51,22 +51,30 @@
     }
 }
 
-fn report_changes(node: &Node, socket: &UdpSocket, which: &[Fingerprint]) {
+fn report_changes(node: &Node, socket: &UdpSocket, fingerprints: &[Fingerprint]) {
     let mut by_target: HashMap<(SocketAddr, bool), Vec<Fingerprint>> = HashMap::new();
     {
         let core = node.core.borrow();
-        let own = (node.vm, node.domain);
-        for one in which {
-            let all = core.quarantine.is_fleet_wide(*one);
-            let (targets, to_all) =
-                report::report_targets(&core.peers, clock::now(), own, *one, all);
+        let local = (node.vm, node.domain);
+        for fingerprint in fingerprints {
+            let is_fleet_wide = core.quarantine.is_fleet_wide(*fingerprint);
+            let (targets, to_all) = report::report_targets(
+                &core.peers,
+                clock::now(),
+                local,
+                *fingerprint,
+                is_fleet_wide,
+            );
             for to in targets {
-                by_target.entry((to, to_all)).or_default().push(*one);
+                by_target
+                    .entry((to, to_all))
+                    .or_default()
+                    .push(*fingerprint);
             }
         }
     }
-    for ((to, to_all), which) in by_target {
-        send_report(node, socket, &which, to, to_all);
+    for ((to, to_all), fingerprints) in by_target {
+        send_report(node, socket, &fingerprints, to, to_all);
     }
 }
 
@@ -101,19 +109,19 @@
 fn send_report(
     node: &Node,
     socket: &UdpSocket,
-    which: &[Fingerprint],
+    fingerprints: &[Fingerprint],
     to: SocketAddr,
     to_all: bool,
 ) {
-    for some in which.chunks(REPORTS_PER_DATAGRAM_MAX) {
-        let told = {
+    for chunk in fingerprints.chunks(REPORTS_PER_DATAGRAM_MAX) {
+        let reports = {
             let quarantine = &node.core.borrow().quarantine;
-            let told = some
-                .iter()
-                .filter_map(|one| quarantine.report(quarantine_now(), *one, to_all));
-            told.collect()
+            let reports = chunk.iter().filter_map(|fingerprint| {
+                quarantine.report(quarantine_now(), *fingerprint, to_all)
+            });
+            reports.collect()
         };
-        if let Some(sealed) = seal(node, &Datagram::Quarantine(told)) {
+        if let Some(sealed) = seal(node, &Datagram::Quarantine(reports)) {
             // A failed send is handled like a lost datagram: the report is sent again.
             let _ = socket.try_send_to(&sealed, to);
         }
@@ -121,38 +129,38 @@
 }
 
 /// Applies reports from another VM.
-pub fn heard(node: &Node, socket: &UdpSocket, told: &[QuarantineReport]) {
-    let mut news = Vec::new();
+pub fn heard(node: &Node, socket: &UdpSocket, reports: &[QuarantineReport]) {
+    let mut new_reports = Vec::new();
     {
         let mut core = node.core.borrow_mut();
-        for one in told {
+        for report in reports {
             if !core
                 .quarantine
-                .apply_report(quarantine_now(), one, EvidenceSource::Peer)
+                .apply_report(quarantine_now(), report, EvidenceSource::Peer)
             {
                 continue;
             }
-            match one.to_all {
-                true => news.push(one.fingerprint),
+            match report.to_all {
+                true => new_reports.push(report.fingerprint),
                 // The report was sent to this VM as an aggregator.
-                false => core.quarantine.forward(one.fingerprint),
+                false => core.quarantine.forward(report.fingerprint),
             }
         }
     }
-    forward(node, socket, &news);
+    forward(node, socket, &new_reports);
     publish_changes(node);
     node.tell_quarantine.notify_one();
 }
 
 /// A delegate forwards reports meant for all VMs, once: only those that were new to it.
-fn forward(node: &Node, socket: &UdpSocket, news: &[Fingerprint]) {
+fn forward(node: &Node, socket: &UdpSocket, fingerprints: &[Fingerprint]) {
     let targets = {
         let peers = &node.core.borrow().peers;
-        let passes_on = peers.is_delegate(node.vm) && !news.is_empty();
-        let own = (node.vm, node.domain);
-        passes_on.then(|| report::all_targets(peers, own))
+        let forwards = peers.is_delegate(node.vm) && !fingerprints.is_empty();
+        let local = (node.vm, node.domain);
+        forwards.then(|| report::all_targets(peers, local))
     };
     for to in targets.unwrap_or_default() {
-        send_report(node, socket, news, to, true);
+        send_report(node, socket, fingerprints, to, true);
     }
 }
--- a/src/serve/quotas/records.rs
+++ b/src/serve/quotas/records.rs
@@ -54,7 +54,7 @@
             }
             written.insert(workspace, now);
             if let Err(error) = write_record(&node, workspace).await {
-                log::info!(workspace, error:% = error; "a workspace near its quota can't be marked");
+                log::info!(workspace, error:% = error; "cannot record that a workspace is near its quota");
             }
         }
     }
@@ -69,11 +69,11 @@
     let near = core
         .quotas
         .near_limit(now, |workspace| quota_of(routes, workspace));
-    let writes = |workspace: &WorkspaceKey| {
+    let is_writer = |workspace: &WorkspaceKey| {
         let rank = core.peers.rank(now, node.vm, u64::from(*workspace));
         rank < WRITING_VMS
     };
-    near.into_iter().filter(writes).collect()
+    near.into_iter().filter(is_writer).collect()
 }
 
 /// Reads the records; true when done. That includes the time after one window, when records from
@@ -86,7 +86,7 @@
     let items = match node.store.range(RECORD_PREFIX).await {
         Ok((items, _)) => items,
         Err(error) => {
-            log::info!(error:% = error; "marks of workspaces near their quotas can't be read");
+            log::info!(error:% = error; "cannot read the records of workspaces near their quotas");
             sleep(CHECK_INTERVAL).await;
             return false;
         }
@@ -96,7 +96,9 @@
         let key = item.key.strip_prefix(RECORD_PREFIX).unwrap_or_default();
         match WorkspaceKey::from_str_radix(key, 16) {
             Ok(workspace) => core.quotas.mark_near_limit(workspace),
-            Err(error) => log::error!(key = item.key, error:% = error; "a mark can't be read"),
+            Err(error) => {
+                log::error!(key = item.key, error:% = error; "invalid record of a workspace near its quota")
+            }
         }
     }
     true
@@ -107,11 +109,11 @@
     let Reply::Granted(lease) = node.store.call(Call::Grant { ttl }).await? else {
         return Err(Error::NoLease);
     };
-    let mut mark = write(format!("{RECORD_PREFIX}{workspace:08x}"), Bytes::new());
-    mark.lease = lease;
+    let mut record = write(format!("{RECORD_PREFIX}{workspace:08x}"), Bytes::new());
+    record.lease = lease;
     let txn = Txn {
         expect: Vec::new(),
-        writes: vec![mark],
+        writes: vec![record],
         deletes: Vec::new(),
     };
     node.store.try_commit(txn).await.map(|_| ())
--- a/tests/quarantine_play.rs
+++ b/tests/quarantine_play.rs
@@ -40,7 +40,7 @@
 enum Body {
     Bad(u64),
     Common,
-    Unique(u64),
+    Own(u64),
 }
 
 struct Run {
@@ -155,74 +155,77 @@
         for _ in 0..per_step.ceil() as usize {
             let vm = self.rng.random_range(0..self.vms.len());
             self.next_id += 1;
-            let own = Body::Unique(self.next_id);
+            let unique = Body::Own(self.next_id);
             let body = if self.rng.random_bool(0.5) {
                 Body::Common
             } else {
-                own
+                unique
             };
             self.sent += 1;
             self.send(vm, body, 0);
         }
     }
 
-    fn send(&mut self, vm: usize, body: Body, tries: u32) {
+    fn send(&mut self, vm: usize, body: Body, attempts: u32) {
         if self.starting.get(&vm).is_some_and(|at| self.now < *at) {
             return;
         }
-        let asked = fingerprint(body);
-        let tries_here = vm as u64 == asked.rendezvous_key() % self.vms.len() as u64;
-        if self.vms[vm].admit(self.now, asked, tries_here).is_err() {
+        let request = fingerprint(body);
+        let runs_trial = vm as u64 == request.rendezvous_key() % self.vms.len() as u64;
+        if self.vms[vm].admit(self.now, request, runs_trial).is_err() {
             self.refused += u64::from(!matches!(body, Body::Bad(_)));
             return;
         }
-        let up =
+        let is_available =
             |endpoint: &Endpoint| endpoint.restarts_at.is_none() && endpoint.runs.len() < SLOTS;
-        let places = (0..self.endpoints.len()).filter(|at| up(&self.endpoints[*at]));
-        let places: Vec<usize> = places.collect();
-        if places.is_empty() {
+        let available = (0..self.endpoints.len()).filter(|at| is_available(&self.endpoints[*at]));
+        let available: Vec<usize> = available.collect();
+        if available.is_empty() {
             return;
         }
-        let place = places[self.rng.random_range(0..places.len())];
+        let endpoint = available[self.rng.random_range(0..available.len())];
         if let Body::Bad(bad) = body {
             self.bad_runs.entry(bad).or_default().push(self.now);
         }
-        let began = self.now;
-        self.endpoints[place].runs.push(Run {
+        let started_at = self.now;
+        self.endpoints[endpoint].runs.push(Run {
             vm,
             body,
-            attempts: tries,
-            started_at: began,
+            attempts,
+            started_at,
         });
     }
 
     fn end_runs(&mut self) {
-        for place in 0..self.endpoints.len() {
+        for index in 0..self.endpoints.len() {
             let now = self.now;
             let bad = |run: &Run| {
                 matches!(run.body, Body::Bad(_)) && now >= run.started_at + BAD_RUN_TIME
             };
-            if self.endpoints[place].runs.iter().any(bad) {
-                self.end(place);
+            if self.endpoints[index].runs.iter().any(bad) {
+                self.end(index);
                 continue;
             }
-            let whole = |run: &mut Run| now >= run.started_at + RUN_TIME;
-            let done: Vec<Run> = self.endpoints[place].runs.extract_if(.., whole).collect();
-            for run in done {
-                let speaks = self
+            let complete = |run: &mut Run| now >= run.started_at + RUN_TIME;
+            let completed: Vec<Run> = self.endpoints[index]
+                .runs
+                .extract_if(.., complete)
+                .collect();
+            for run in completed {
+                let reports = self
                     .rng
                     .random_bool(report::answer_report_share(self.vms.len() as u32));
-                self.vms[run.vm].request_answered(now, fingerprint(run.body), speaks);
+                self.vms[run.vm].request_answered(now, fingerprint(run.body), reports);
             }
         }
     }
 
-    fn end(&mut self, place: usize) {
+    fn end(&mut self, index: usize) {
         let now = self.now;
-        let id = self.endpoints[place].id;
-        self.endpoints[place].restarts_at = Some(now + RESTART_AFTER);
+        let id = self.endpoints[index].id;
+        self.endpoints[index].restarts_at = Some(now + RESTART_AFTER);
         self.lapses.push((now + LAPSE_AFTER, id));
-        let runs: Vec<Run> = self.endpoints[place].runs.drain(..).collect();
+        let runs: Vec<Run> = self.endpoints[index].runs.drain(..).collect();
         for run in &runs {
             if let Body::Bad(bad) = run.body {
                 self.bad_ends.entry(bad).or_default().push(now);
@@ -240,7 +243,7 @@
     fn lost(&mut self, run: &Run, endpoint: u64) {
         let lost = LostRun {
             fingerprint: fingerprint(run.body),
-            label: "played".into(),
+            label: "simulated".into(),
             endpoint,
             at: self.now,
             ran: self.now - run.started_at,
@@ -263,25 +266,28 @@
         let calm = self.now < HOLD_TIME + WARM_UP;
         let ends = if calm { 0.0 } else { self.load.ends_per_s };
         let chance = ends * STEP.as_secs_f64();
-        for place in 0..self.endpoints.len() {
-            if self.endpoints[place].restarts_at.is_none() && self.rng.random_bool(chance) {
-                self.end(place);
+        for index in 0..self.endpoints.len() {
+            if self.endpoints[index].restarts_at.is_none() && self.rng.random_bool(chance) {
+                self.end(index);
             }
         }
         if self.is_every(self.load.power_loss_interval_s) {
             let domain = self.rng.random_range(0..DOMAINS);
-            for place in 0..self.endpoints.len() {
-                if self.endpoints[place].domain == domain {
-                    self.end(place);
+            for index in 0..self.endpoints.len() {
+                if self.endpoints[index].domain == domain {
+                    self.end(index);
                 }
             }
         }
         if self.is_every(self.load.reset_interval_s) {
             let vm = self.rng.random_range(0..self.vms.len());
-            for place in 0..self.endpoints.len() {
-                let own = |run: &mut Run| run.vm == vm;
-                let reset: Vec<Run> = self.endpoints[place].runs.extract_if(.., own).collect();
-                let id = self.endpoints[place].id;
+            for index in 0..self.endpoints.len() {
+                let is_of_vm = |run: &mut Run| run.vm == vm;
+                let reset: Vec<Run> = self.endpoints[index]
+                    .runs
+                    .extract_if(.., is_of_vm)
+                    .collect();
+                let id = self.endpoints[index].id;
                 reset.iter().for_each(|run| self.lost(run, id));
             }
         }
@@ -308,33 +314,34 @@
     }
 
     /// The fleet's aggregator and that of the failure domain.
-    fn aggregators(&self, vm: usize, asked: Fingerprint) -> [usize; 2] {
+    fn aggregators(&self, vm: usize, request: Fingerprint) -> [usize; 2] {
         let all = self.vms.len();
-        let key = asked.rendezvous_key() as usize;
-        let near = (key / DOMAINS * DOMAINS + vm % DOMAINS) % (all / DOMAINS * DOMAINS);
-        [key % all, near]
+        let key = request.rendezvous_key() as usize;
+        let local = (key / DOMAINS * DOMAINS + vm % DOMAINS) % (all / DOMAINS * DOMAINS);
+        [key % all, local]
     }
 
     fn targets(&self, vm: usize) -> Vec<usize> {
         let others = (0..self.vms.len()).filter(|other| *other != vm);
-        let near = |other: &usize| other % DOMAINS == vm % DOMAINS;
+        let is_local = |other: &usize| other % DOMAINS == vm % DOMAINS;
         match (self.vms.len() > FULL_MESH_VMS_MAX, self.is_delegate(vm)) {
             (false, _) => others.collect(),
             (true, false) => others
-                .filter(|other| near(other) && self.is_delegate(*other))
+                .filter(|other| is_local(other) && self.is_delegate(*other))
                 .collect(),
             (true, true) => others
-                .filter(|other| near(other) || self.is_delegate(*other))
+                .filter(|other| is_local(other) || self.is_delegate(*other))
                 .collect(),
         }
     }
 
     fn send_reports(&mut self) {
         for vm in 0..self.vms.len() {
-            let untold = self.vms[vm].take_unreported();
-            if !untold.is_empty() {
-                self.report(vm, &untold);
-                self.repeats.push((self.now + REPORT_INTERVAL, vm, untold));
+            let unreported = self.vms[vm].take_unreported();
+            if !unreported.is_empty() {
+                self.report(vm, &unreported);
+                self.repeats
+                    .push((self.now + REPORT_INTERVAL, vm, unreported));
             }
             // A report to a randomly chosen VM, each second.
             if self.is_every(1) {
@@ -343,28 +350,28 @@
             }
         }
         let due = |(at, ..): &mut (Duration, usize, Vec<Fingerprint>)| *at <= self.now;
-        let again: Vec<_> = self.repeats.extract_if(.., due).collect();
-        for (_, vm, which) in again {
+        let due: Vec<_> = self.repeats.extract_if(.., due).collect();
+        for (_, vm, which) in due {
             self.report(vm, &which);
         }
     }
 
-    fn report(&mut self, vm: usize, which: &[Fingerprint]) {
-        for one in which {
-            let collectors = self.aggregators(vm, *one);
-            if collectors.contains(&vm) && self.vms[vm].is_fleet_wide(*one) {
-                self.report_to_all(vm, *one);
+    fn report(&mut self, vm: usize, fingerprints: &[Fingerprint]) {
+        for fingerprint in fingerprints {
+            let aggregators = self.aggregators(vm, *fingerprint);
+            if aggregators.contains(&vm) && self.vms[vm].is_fleet_wide(*fingerprint) {
+                self.report_to_all(vm, *fingerprint);
                 continue;
             }
-            for to in collectors.into_iter().filter(|other| *other != vm) {
-                self.send_report(vm, &[*one], to, false);
+            for to in aggregators.into_iter().filter(|other| *other != vm) {
+                self.send_report(vm, &[*fingerprint], to, false);
             }
         }
     }
 
-    fn report_to_all(&mut self, vm: usize, which: Fingerprint) {
+    fn report_to_all(&mut self, vm: usize, fingerprint: Fingerprint) {
         for to in self.targets(vm) {
-            self.send_report(vm, &[which], to, true);
+            self.send_report(vm, &[fingerprint], to, true);
         }
     }
 
@@ -376,29 +383,31 @@
         }
     }
 
-    fn send_report(&mut self, vm: usize, which: &[Fingerprint], to: usize, to_all: bool) {
+    fn send_report(&mut self, vm: usize, fingerprints: &[Fingerprint], to: usize, to_all: bool) {
         if self.rng.random_bool(DATAGRAM_LOSS) {
             return;
         }
-        let told = which
+        let reports = fingerprints
             .iter()
-            .filter_map(|one| self.vms[vm].report(self.now, *one, to_all));
+            .filter_map(|fingerprint| self.vms[vm].report(self.now, *fingerprint, to_all));
         self.in_flight
-            .push((self.now + REPORT_DELAY, to, told.collect()));
+            .push((self.now + REPORT_DELAY, to, reports.collect()));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let due = |(at, ..): &mut (Duration, usize, Vec<QuarantineReport>)| *at <= now;
         let arrived: Vec<_> = self.in_flight.extract_if(.., due).collect();
-        for (_, to, told) in arrived {
+        for (_, to, reports) in arrived {
             self.received[to] += 1;
-            for one in told {
-                let one = one.aged(REPORT_DELAY - REPORT_INTERVAL);
-                let news = self.vms[to].apply_report(now, &one, EvidenceSource::Peer);
-                match one.to_all {
-                    true if news && self.is_delegate(to) => self.report_to_all(to, one.fingerprint),
-                    false if news => self.vms[to].forward(one.fingerprint),
+            for report in reports {
+                let report = report.aged(REPORT_DELAY - REPORT_INTERVAL);
+                let is_new = self.vms[to].apply_report(now, &report, EvidenceSource::Peer);
+                match report.to_all {
+                    true if is_new && self.is_delegate(to) => {
+                        self.report_to_all(to, report.fingerprint)
+                    }
+                    false if is_new => self.vms[to].forward(report.fingerprint),
                     _ => {}
                 }
             }
@@ -440,14 +449,14 @@
     for (vms, endpoints) in SIZES {
         let seeds = if vms > FULL_MESH_VMS_MAX { 1..3 } else { 1..6 };
         for seed in seeds {
-            let play = Simulation::new(seed, vms, endpoints, load).run();
-            let (late, runs) = play.late_runs();
-            let most = play.received.iter().max().copied().unwrap_or(0);
+            let result = Simulation::new(seed, vms, endpoints, load).run();
+            let (late, runs) = result.late_runs();
+            let most = result.received.iter().max().copied().unwrap_or(0);
             eprintln!(
-                "{name} {vms} VMs seed {seed}: {late} late of {runs} bad runs, {} of {} innocent held back, \
+                "{name} {vms} VMs seed {seed}: {late} late of {runs} bad runs, {} of {} innocent quarantined, \
                  {most} datagrams at most in {} s",
-                play.refused,
-                play.sent,
+                result.refused,
+                result.sent,
                 SIMULATED_TIME.as_secs()
             );
             assert!(
@@ -455,8 +464,8 @@
                 "{name}, {vms} VMs, seed {seed}: {late} late runs"
             );
             assert_eq!(
-                play.refused, 0,
-                "{name}, {vms} VMs, seed {seed}: innocent requests held back"
+                result.refused, 0,
+                "{name}, {vms} VMs, seed {seed}: innocent requests quarantined"
             );
         }
     }
--- a/tests/quota_play.rs
+++ b/tests/quota_play.rs
@@ -116,21 +116,22 @@
     /// When a single counter for the whole fleet would have admitted them.
     ideal: VecDeque<u64>,
     admitted_total: u64,
-    owed: u64,
+    admissible: u64,
 }
 
 fn ms(value: u64) -> Duration {
     Duration::from_millis(value)
 }
 
-fn workspaces(play: &Simulation, rng: &mut SmallRng) -> Vec<Workspace> {
+fn workspaces(simulation: &Simulation, rng: &mut SmallRng) -> Vec<Workspace> {
     let weight = |at: usize| 1.0 / (at as f64 + 1.0);
     let all: f64 = (0..WORKSPACES).map(weight).sum();
-    let total = REQUESTS_PER_S_PER_VM * play.vms as f64;
+    let total = REQUESTS_PER_S_PER_VM * simulation.vms as f64;
     let one = |at: usize| {
         let rate_per_s = total * weight(at) / all;
-        let callers = ((play.vms as f64 * weight(at)).ceil() as usize).clamp(1, CALLER_VMS_MAX);
-        let callers = if play.one_vm { 1 } else { callers };
+        let callers =
+            ((simulation.vms as f64 * weight(at)).ceil() as usize).clamp(1, CALLER_VMS_MAX);
+        let callers = if simulation.one_vm { 1 } else { callers };
         let quota_s = (rate_per_s * QUOTA_FACTOR).ceil();
         Workspace {
             key: at as u32,
@@ -140,12 +141,12 @@
                 burst: quota_s,
             },
             callers: (0..callers)
-                .map(|_| rng.random_range(0..play.vms))
+                .map(|_| rng.random_range(0..simulation.vms))
                 .collect(),
             admitted: VecDeque::new(),
             ideal: VecDeque::new(),
             admitted_total: 0,
-            owed: 0,
+            admissible: 0,
         }
     };
     (0..WORKSPACES).map(one).collect()
@@ -160,10 +161,10 @@
     }
 }
 
-fn simulate(play: &Simulation, seed: u64) -> Outcome {
+fn simulate(simulation: &Simulation, seed: u64) -> Outcome {
     let mut rng = SmallRng::seed_from_u64(seed);
-    let mut rows = workspaces(play, &mut rng);
-    let usual = rows[play.hot.0].quota;
+    let mut rows = workspaces(simulation, &mut rng);
+    let usual = rows[simulation.hot.0].quota;
     let vm = |at: usize| Vm {
         quotas: Quotas::new(MEASURE, Duration::ZERO),
         owner: at as u64,
@@ -172,75 +173,76 @@
         remote_report_at: report_offset_ms(at),
         full_report_at: report_offset_ms(at) * 5,
     };
-    let mut vms: Vec<Vm> = (0..play.vms).map(vm).collect();
-    let mut seen = Outcome::default();
-    let mut marks = Vec::new();
+    let mut vms: Vec<Vm> = (0..simulation.vms).map(vm).collect();
+    let mut outcome = Outcome::default();
+    let mut near_limit = Vec::new();
     // The first seconds are idle: processes start before their callers arrive.
     let start_ms = 10_000;
-    let end_ms = start_ms + (play.seconds * 1000.0) as u64;
-    let kill_ms = start_ms + (play.kill.1 * 1000.0) as u64;
+    let end_ms = start_ms + (simulation.seconds * 1000.0) as u64;
+    let kill_ms = start_ms + (simulation.kill.1 * 1000.0) as u64;
     for now_ms in (0..end_ms).step_by(STEP_MS as usize) {
         let now = ms(now_ms);
         let at_s = (now_ms as f64 - start_ms as f64) / 1000.0;
-        if play.kill.0 > 0.0 && (kill_ms..kill_ms + STEP_MS).contains(&now_ms) {
-            kill(play, &mut vms, &marks, now_ms, &mut rng);
+        if simulation.kill.0 > 0.0 && (kill_ms..kill_ms + STEP_MS).contains(&now_ms) {
+            kill(simulation, &mut vms, &near_limit, now_ms, &mut rng);
         }
         if now_ms.is_multiple_of(RECORD_MS) {
             // Recorded in the store, and read by processes that start.
-            marks = vms[0]
+            near_limit = vms[0]
                 .quotas
                 .near_limit(now, |key| Some(rows[key as usize].quota));
         }
-        let factor = play.quota.iter().rfind(|(since, _)| at_s >= *since);
+        let factor = simulation.quota.iter().rfind(|(since, _)| at_s >= *since);
         let factor = factor.map_or(1.0, |(_, factor)| *factor);
-        rows[play.hot.0].quota = Quota {
+        rows[simulation.hot.0].quota = Quota {
             rate_per_s: usual.rate_per_s * factor,
             burst: usual.burst * factor,
         };
-        send_reports(play, &mut vms, &rows, now_ms, at_s, &mut rng);
+        send_reports(simulation, &mut vms, &rows, now_ms, at_s, &mut rng);
         if at_s < 0.0 {
             continue;
         }
         for (number, workspace) in rows.iter_mut().enumerate() {
-            let hot = number == play.hot.0 && (play.hot.2..play.hot.3).contains(&at_s);
-            let times = if hot { play.hot.1 } else { 1.0 };
+            let hot =
+                number == simulation.hot.0 && (simulation.hot.2..simulation.hot.3).contains(&at_s);
+            let times = if hot { simulation.hot.1 } else { 1.0 };
             let expected =
                 workspace.rate_per_s * load_factor(at_s) * times * STEP_MS as f64 / 1000.0;
             let count = expected as u64 + u64::from(rng.random_bool(expected.fract()));
             for _ in 0..count {
                 let caller = workspace.callers[rng.random_range(0..workspace.callers.len())];
-                let Some(at) = reachable_vm(play, &vms, caller, now_ms) else {
+                let Some(at) = reachable_vm(simulation, &vms, caller, now_ms) else {
                     continue;
                 };
-                let admitted = decide(play, &mut vms, at, workspace, now, rng.random());
-                let owed = workspace.quota.rate_per_s * 5.0 + workspace.quota.burst;
-                seen.asked += 1;
+                let admitted = decide(simulation, &mut vms, at, workspace, now, rng.random());
+                let limit = workspace.quota.rate_per_s * 5.0 + workspace.quota.burst;
+                outcome.asked += 1;
                 expire(&mut workspace.ideal, now_ms);
-                if (workspace.ideal.len() as f64) < owed {
+                if (workspace.ideal.len() as f64) < limit {
                     workspace.ideal.push_back(now_ms);
-                    workspace.owed += 1;
+                    workspace.admissible += 1;
                 }
                 match admitted {
                     true => {
                         workspace.admitted.push_back(now_ms);
                         workspace.admitted_total += 1;
                     }
-                    false => seen.refused += 1,
+                    false => outcome.refused += 1,
                 }
             }
             let settled = |since: f64| at_s >= since + 8.0;
-            let changed = play.quota.iter().rfind(|(since, _)| at_s >= *since);
+            let changed = simulation.quota.iter().rfind(|(since, _)| at_s >= *since);
             if changed.is_none_or(|(since, _)| settled(*since)) {
-                note_use(workspace, now_ms, &mut seen);
+                note_use(workspace, now_ms, &mut outcome);
             }
         }
     }
-    seen.admissible = rows.iter().map(|row| row.owed).sum();
+    outcome.admissible = rows.iter().map(|row| row.admissible).sum();
     let below = rows
         .iter()
-        .map(|row| row.owed.saturating_sub(row.admitted_total));
-    seen.refused_below = below.sum();
-    seen
+        .map(|row| row.admissible.saturating_sub(row.admitted_total));
+    outcome.refused_below = below.sum();
+    outcome
 }
 
 fn expire(times: &mut VecDeque<u64>, now_ms: u64) {
@@ -254,23 +256,29 @@
     (at as u64 * 37) % REMOTE_REPORT_MS
 }
 
-fn note_use(workspace: &mut Workspace, now_ms: u64, seen: &mut Outcome) {
+fn note_use(workspace: &mut Workspace, now_ms: u64, outcome: &mut Outcome) {
     expire(&mut workspace.admitted, now_ms);
     let quota = workspace.quota;
     let bound = (quota.rate_per_s * 5.0 + quota.burst) * 1.1 + 20.0;
-    seen.largest_use = seen
+    outcome.largest_use = outcome
         .largest_use
         .max(workspace.admitted.len() as f64 / bound);
 }
 
-fn kill(play: &Simulation, vms: &mut [Vm], marks: &[u32], now_ms: u64, rng: &mut SmallRng) {
+fn kill(
+    simulation: &Simulation,
+    vms: &mut [Vm],
+    near_limit: &[u32],
+    now_ms: u64,
+    rng: &mut SmallRng,
+) {
     for vm in vms.iter_mut() {
-        if rng.random_bool(play.kill.0) {
+        if rng.random_bool(simulation.kill.0) {
             vm.down_until = now_ms + DOWN_MS;
             vm.started_at = vm.down_until;
             vm.owner += 1_000_000;
             vm.quotas = Quotas::new(MEASURE, ms(vm.down_until));
-            marks
+            near_limit
                 .iter()
                 .for_each(|workspace| vm.quotas.mark_near_limit(*workspace));
         }
@@ -278,29 +286,29 @@
 }
 
 /// The VM that a caller reaches: another one of its failure domain while its own is down.
-fn reachable_vm(play: &Simulation, vms: &[Vm], at: usize, now_ms: u64) -> Option<usize> {
-    let near = (0..play.vms).map(|step| (at + step * play.domains) % play.vms);
+fn reachable_vm(simulation: &Simulation, vms: &[Vm], at: usize, now_ms: u64) -> Option<usize> {
+    let near = (0..simulation.vms).map(|step| (at + step * simulation.domains) % simulation.vms);
     let mut up = near.filter(|at| now_ms >= vms[*at].down_until);
     up.next()
 }
 
 fn decide(
-    play: &Simulation,
+    simulation: &Simulation,
     vms: &mut [Vm],
     at: usize,
     workspace: &Workspace,
     now: Duration,
     draw: f64,
 ) -> bool {
-    let parts = match play.policy {
+    let parts = match simulation.policy {
         Policy::Shares | Policy::Known => 1.0,
-        Policy::Even => play.vms as f64,
+        Policy::Even => simulation.vms as f64,
     };
     let quota = Quota {
         rate_per_s: workspace.quota.rate_per_s / parts,
         burst: workspace.quota.burst / parts,
     };
-    if play.policy == Policy::Known {
+    if simulation.policy == Policy::Known {
         let used = vms[at].quotas.used(now, "", workspace.key, quota);
         let fits = f64::from(used.admitted) + 1.0 <= used.limit;
         let endless = Quota {
@@ -320,16 +328,22 @@
 }
 
 /// Whether a message from one VM arrives at another one.
-fn is_delivered(play: &Simulation, from: usize, to: usize, at_s: f64, rng: &mut SmallRng) -> bool {
-    let first = |at: usize| at.is_multiple_of(play.domains);
+fn is_delivered(
+    simulation: &Simulation,
+    from: usize,
+    to: usize,
+    at_s: f64,
+    rng: &mut SmallRng,
+) -> bool {
+    let first = |at: usize| at.is_multiple_of(simulation.domains);
     let (here, there) = (first(from), first(to));
-    let cut = here != there && (play.cut.0..play.cut.1).contains(&at_s);
-    let lost = play.loss > 0.0 && rng.random_bool(play.loss);
+    let cut = here != there && (simulation.cut.0..simulation.cut.1).contains(&at_s);
+    let lost = simulation.loss > 0.0 && rng.random_bool(simulation.loss);
     !cut && !lost
 }
 
 fn send_reports(
-    play: &Simulation,
+    simulation: &Simulation,
     vms: &mut [Vm],
     rows: &[Workspace],
     now_ms: u64,
@@ -340,66 +354,66 @@
     for vm in vms.iter_mut().filter(|vm| now_ms >= vm.down_until) {
         let view = FleetView {
             store: true,
-            large: play.uses_delegates,
-            vms: play.vms as u32,
+            large: simulation.uses_delegates,
+            vms: simulation.vms as u32,
         };
         vm.quotas.tick(now, view);
     }
-    if play.policy == Policy::Even {
+    if simulation.policy == Policy::Even {
         return;
     }
-    let pressed = |vm: &Vm, count: &WorkspaceCount| {
+    let is_prompt = |vm: &Vm, count: &WorkspaceCount| {
         let row = &rows[count.workspace as usize];
         vm.quotas
             .needs_prompt_report(now, count.workspace, row.quota)
     };
-    let told = |vm: &mut Vm,
-                counted_for: Duration,
-                source: CountSource,
-                vms: u32,
-                counts: &[WorkspaceCount]| {
-        let word = CountReport {
+    let apply = |vm: &mut Vm,
+                 counted_for: Duration,
+                 source: CountSource,
+                 vms: u32,
+                 counts: &[WorkspaceCount]| {
+        let report = CountReport {
             vms,
             counted_for,
             leaving: false,
             counts,
         };
-        vm.quotas.apply_report(now, source, word);
+        vm.quotas.apply_report(now, source, report);
     };
     for from in 0..vms.len() {
         if now_ms < vms[from].down_until || !now_ms.is_multiple_of(ROUND_MS) {
             continue;
         }
         let all = vms[from].quotas.counts(now);
-        let near_quota: Vec<WorkspaceCount> = all
+        let prompt: Vec<WorkspaceCount> = all
             .iter()
-            .filter(|count| pressed(&vms[from], count))
+            .filter(|count| is_prompt(&vms[from], count))
             .copied()
             .collect();
-        let far_pressed = !near_quota.is_empty()
-            && now_ms >= vms[from].remote_report_at + REMOTE_PROMPT_REPORT_MS;
-        let far = far_pressed || now_ms >= vms[from].remote_report_at + REMOTE_REPORT_MS;
-        let all_far = far && now_ms >= vms[from].full_report_at + REMOTE_FULL_REPORT_MS;
+        let remote_prompt =
+            !prompt.is_empty() && now_ms >= vms[from].remote_report_at + REMOTE_PROMPT_REPORT_MS;
+        let remote = remote_prompt || now_ms >= vms[from].remote_report_at + REMOTE_REPORT_MS;
+        let remote_full = remote && now_ms >= vms[from].full_report_at + REMOTE_FULL_REPORT_MS;
         let (owner, counted) = (vms[from].owner, vms[from].quotas.counted_for(now));
-        if far {
+        if remote {
             vms[from].remote_report_at = now_ms;
         }
-        if all_far {
+        if remote_full {
             vms[from].full_report_at = now_ms;
         }
-        let domain = from % play.domains;
+        let domain = from % simulation.domains;
         for to in (0..vms.len()).filter(|to| *to != from) {
-            let near = to % play.domains == domain;
-            let delegate = to < DELEGATES * play.domains;
-            if play.uses_delegates && !(near && delegate) || !(near || far) {
+            let local = to % simulation.domains == domain;
+            let delegate = to < DELEGATES * simulation.domains;
+            if simulation.uses_delegates && !(local && delegate) || !(local || remote) {
                 continue;
             }
-            let counts = if near || all_far { &all } else { &near_quota };
-            if now_ms >= vms[to].down_until && is_delivered(play, from, to, at_s, rng) {
+            let counts = if local || remote_full { &all } else { &prompt };
+            if now_ms >= vms[to].down_until && is_delivered(simulation, from, to, at_s, rng) {
                 if owner >= 1_000_000 {
                     vms[to].quotas.replaced(owner - 1_000_000);
                 }
-                told(
+                apply(
                     &mut vms[to],
                     counted,
                     CountSource::Process(owner),
@@ -408,8 +422,8 @@
                 );
             }
         }
-        if play.uses_delegates && from < DELEGATES * play.domains {
-            send_summary(play, vms, rows, from, now_ms, at_s, rng);
+        if simulation.uses_delegates && from < DELEGATES * simulation.domains {
+            send_summary(simulation, vms, rows, from, now_ms, at_s, rng);
         }
     }
 }
@@ -417,7 +431,7 @@
 /// One summary round of a delegate: to its failure domain, and every sixth one to the others, whose
 /// delegates forward it.
 fn send_summary(
-    play: &Simulation,
+    simulation: &Simulation,
     vms: &mut [Vm],
     rows: &[Workspace],
     from: usize,
@@ -426,40 +440,40 @@
     rng: &mut SmallRng,
 ) {
     let now = ms(now_ms);
-    let domain = from % play.domains;
-    let members = (0..play.vms).filter(|at| at % play.domains == domain && *at != from);
+    let domain = from % simulation.domains;
+    let members = (0..simulation.vms).filter(|at| at % simulation.domains == domain && *at != from);
     let members: Vec<(u64, u64)> = members.map(|at| (at as u64, vms[at].owner)).collect();
     let mut counts = vms[from].quotas.domain_counts(now, &members);
-    let far = now_ms.is_multiple_of(6 * ROUND_MS);
+    let remote = now_ms.is_multiple_of(6 * ROUND_MS);
     if !now_ms.is_multiple_of(24 * ROUND_MS) {
-        let pressed = |count: &WorkspaceCount| {
+        let is_prompt = |count: &WorkspaceCount| {
             let row = &rows[count.workspace as usize];
             vms[from]
                 .quotas
                 .needs_prompt_report(now, count.workspace, row.quota)
         };
-        counts.rows.retain(pressed);
+        counts.rows.retain(is_prompt);
     }
     for (to, vm) in vms.iter_mut().enumerate() {
-        let near = to % play.domains == domain;
-        let hears_all = near && to < DELEGATES * play.domains;
-        let speaks = !hears_all && (near || far) && now_ms >= vm.down_until;
-        if !speaks || !is_delivered(play, from, to, at_s, rng) {
+        let local = to % simulation.domains == domain;
+        let receives_all = local && to < DELEGATES * simulation.domains;
+        let is_target = !receives_all && (local || remote) && now_ms >= vm.down_until;
+        if !is_target || !is_delivered(simulation, from, to, at_s, rng) {
             continue;
         }
-        let rows = if near {
+        let rows = if local {
             counts.without(to as u64)
         } else {
             counts.rows.clone()
         };
-        let word = CountReport {
-            vms: counts.vms - u32::from(near),
+        let report = CountReport {
+            vms: counts.vms - u32::from(local),
             counted_for: counts.counted_for,
             leaving: false,
             counts: &rows,
         };
         vm.quotas
-            .apply_report(now, CountSource::Domain(domain as u64), word);
+            .apply_report(now, CountSource::Domain(domain as u64), report);
     }
 }
 
@@ -467,18 +481,21 @@
 /// below the limit.
 fn simulate_seeds(name: &str, load: &Simulation, seeds: u64) -> (f64, f64) {
     let all: Vec<Outcome> = (1..=seeds).map(|seed| simulate(load, seed)).collect();
-    let most = all.iter().map(|seen| seen.largest_use).fold(0.0, f64::max);
-    let asked: u64 = all.iter().map(|seen| seen.asked).sum();
-    let below: u64 = all.iter().map(|seen| seen.refused_below).sum();
-    let refused: u64 = all.iter().map(|seen| seen.refused).sum();
-    let owed: u64 = all.iter().map(|seen| seen.admissible).sum();
-    let part = below as f64 / owed as f64;
+    let largest = all
+        .iter()
+        .map(|outcome| outcome.largest_use)
+        .fold(0.0, f64::max);
+    let asked: u64 = all.iter().map(|outcome| outcome.asked).sum();
+    let below: u64 = all.iter().map(|outcome| outcome.refused_below).sum();
+    let refused: u64 = all.iter().map(|outcome| outcome.refused).sum();
+    let admissible: u64 = all.iter().map(|outcome| outcome.admissible).sum();
+    let fraction = below as f64 / admissible as f64;
     println!(
-        "{name:28} {:4} VMs {:6}: most {most:.3} of the bound, refused {refused} of {asked}, below the limit {below} ({part:.5})",
+        "{name:28} {:4} VMs {:6}: most {largest:.3} of the bound, refused {refused} of {asked}, below the limit {below} ({fraction:.5})",
         load.vms,
         format!("{:?}", load.policy)
     );
-    (most, part)
+    (largest, fraction)
 }
 
 fn fleets() -> [Simulation; 3] {
@@ -518,13 +535,13 @@
         hot: (rank, 9.0, 8.0, 18.0),
         ..base()
     };
-    let cut = |play: Simulation| Simulation {
+    let cut = |simulation: Simulation| Simulation {
         cut: (9.0, 15.0),
-        ..play
+        ..simulation
     };
-    let kill = |part: f64, at_s: f64, play: Simulation| Simulation {
+    let kill = |part: f64, at_s: f64, simulation: Simulation| Simulation {
         kill: (part, at_s),
-        ..play
+        ..simulation
     };
     let hot_in_cut = Simulation {
         hot: (0, 9.0, 11.0, 18.0),
@@ -584,29 +601,29 @@
 #[ignore = "prints how the ways compare; takes minutes"]
 fn compare_ways() {
     for fleet in fleets() {
-        for way in [Policy::Even, Policy::Known, Policy::Shares] {
+        for policy in [Policy::Even, Policy::Known, Policy::Shares] {
             for (name, load, _) in loads() {
-                simulate_seeds(name, &on_fleet(&fleet, way, load), 3);
+                simulate_seeds(name, &on_fleet(&fleet, policy, load), 3);
             }
         }
     }
 }
 
 /// The load on another fleet.
-fn on_fleet(fleet: &Simulation, way: Policy, load: Simulation) -> Simulation {
+fn on_fleet(fleet: &Simulation, policy: Policy, load: Simulation) -> Simulation {
     Simulation {
         vms: fleet.vms,
         domains: fleet.domains,
         uses_delegates: fleet.uses_delegates,
-        policy: way,
+        policy,
         ..load
     }
 }
 
 fn check(fleet: &Simulation, seeds: u64, which: impl Fn(&str) -> bool) {
     for (name, load, below_max) in loads().into_iter().filter(|(name, ..)| which(name)) {
-        let (most, below) = simulate_seeds(name, &on_fleet(fleet, Policy::Shares, load), seeds);
-        assert!(most <= 1.0, "{name}: {most} of the bound");
+        let (largest, below) = simulate_seeds(name, &on_fleet(fleet, Policy::Shares, load), seeds);
+        assert!(largest <= 1.0, "{name}: {largest} of the bound");
         assert!(
             below <= below_max,
             "{name}: {below} refused below the limit"
