--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -459,14 +459,16 @@
         let is_local = |request: &TrackedRequest| {
             request.held_since.is_some() && request.by == EvidenceSource::Own
         };
-        let rows = self.tracked.iter().filter(|(_, request)| is_local(request));
-        rows.map(|(fingerprint, _)| *fingerprint).collect()
+        let held = self.tracked.iter().filter(|(_, request)| is_local(request));
+        held.map(|(fingerprint, _)| *fingerprint).collect()
     }
 
     /// Number of quarantined requests.
     pub fn held_count(&self) -> usize {
-        let rows = self.tracked.values();
-        rows.filter(|request| request.held_since.is_some()).count()
+        let requests = self.tracked.values();
+        requests
+            .filter(|request| request.held_since.is_some())
+            .count()
     }
 
     /// Suspected and quarantined requests for operators: quarantined ones first, then by number of
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -470,8 +470,9 @@
     }
 
     fn admitted_elsewhere(&self, now: Duration, workspace: WorkspaceKey) -> u32 {
-        let rows = self.reports.values();
-        let counts = rows.filter_map(|report| report.count_at(now, workspace, self.measure.window));
+        let reports = self.reports.values();
+        let counts =
+            reports.filter_map(|report| report.count_at(now, workspace, self.measure.window));
         counts.map(|count| count.admitted).sum()
     }
 
@@ -507,11 +508,11 @@
     /// again.
     fn counted_fraction(&self, now: Duration, workspace: WorkspaceKey) -> f64 {
         let window = self.measure.window.as_secs_f64();
-        let rows = self
+        let reports = self
             .reports
             .values()
             .filter(|report| report.silent_shares.is_none());
-        let reporting = rows.map(|report| (f64::from(report.vms), report.counted_for));
+        let reporting = reports.map(|report| (f64::from(report.vms), report.counted_for));
         let all = reporting.chain([(1.0, self.counted_for(now))]);
         let (mut vms, mut counted) = (0.0, 0.0);
         for (of, counted_for) in all {
--- a/src/decide/quota/counts.rs
+++ b/src/decide/quota/counts.rs
@@ -31,13 +31,15 @@
 impl DomainCounts {
     /// The rows minus the requests of one VM.
     pub fn without(&self, vm: VmId) -> Vec<WorkspaceCount> {
-        let local = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
+        let excluded = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
         let subtract = |row: &WorkspaceCount| {
-            let local = local.iter().find(|local| local.workspace == row.workspace);
+            let excluded = excluded
+                .iter()
+                .find(|excluded| excluded.workspace == row.workspace);
             WorkspaceCount {
                 workspace: row.workspace,
-                admitted: row.admitted - local.map_or(0, |local| local.admitted),
-                asked: row.asked - local.map_or(0, |local| local.asked),
+                admitted: row.admitted - excluded.map_or(0, |excluded| excluded.admitted),
+                asked: row.asked - excluded.map_or(0, |excluded| excluded.asked),
             }
         };
         self.rows.iter().map(subtract).collect()
--- a/src/serve/quarantine.rs
+++ b/src/serve/quarantine.rs
@@ -72,13 +72,14 @@
                 .rank(clock::now(), node.vm, fingerprint.rendezvous_key())
                 == 0
         };
-        let tries = trial == Trial::Here || first();
-        core.quarantine.admit(quarantine_now(), fingerprint, tries)
+        let runs_trial = trial == Trial::Here || first();
+        core.quarantine
+            .admit(quarantine_now(), fingerprint, runs_trial)
     };
     publish_changes(node);
-    admitted.map_err(|back_in| {
+    admitted.map_err(|retry_after| {
         node.counters.held_back.inc();
-        back_in.max(RETRY_AFTER_MIN)
+        retry_after.max(RETRY_AFTER_MIN)
     })
 }
 
@@ -91,10 +92,10 @@
     let fingerprint = out.fingerprint();
     {
         let mut core = node.core.borrow_mut();
-        let speaks =
+        let reports =
             util::rng().random_bool(report::answer_report_share(core.peers.admitting_vms() + 1));
         core.quarantine
-            .request_answered(quarantine_now(), fingerprint, speaks);
+            .request_answered(quarantine_now(), fingerprint, reports);
     }
     publish_changes(node);
 }
--- a/src/serve/quotas.rs
+++ b/src/serve/quotas.rs
@@ -85,12 +85,12 @@
 
 /// Whether a workspace with requests here is so near its quota that its counts must be reported
 /// promptly.
-pub fn is_pressed(core: &Core, now: Duration, row: &quota::WorkspaceCount) -> bool {
+pub fn is_pressed(core: &Core, now: Duration, count: &quota::WorkspaceCount) -> bool {
     let quota = core
         .routes
         .as_ref()
-        .and_then(|routes| quota_of(routes, row.workspace));
-    quota.is_some_and(|quota| core.quotas.needs_prompt_report(now, row.workspace, quota))
+        .and_then(|routes| quota_of(routes, count.workspace));
+    quota.is_some_and(|quota| core.quotas.needs_prompt_report(now, count.workspace, quota))
 }
 
 fn quota_of(routes: &RouteTable, workspace: WorkspaceKey) -> Option<Quota> {
--- a/tests/caller_keys.rs
+++ b/tests/caller_keys.rs
@@ -33,19 +33,19 @@
 
 /// Freshness of a configuration that was confirmed `age` ago.
 fn confirmed(age: Duration) -> Freshness {
-    let mut proofs = Freshness::default();
-    proofs.confirm(StoreSubject::Rules, NOW - age);
-    proofs
+    let mut freshness = Freshness::default();
+    freshness.confirm(StoreSubject::Rules, NOW - age);
+    freshness
 }
 
 fn credential(key: &str) -> Credential {
     Credential::Key(KeyDigest::of(key.as_bytes()))
 }
 
-fn name_of(shown: Credential, public: bool, age: Duration) -> Result<String, RefusalKind> {
-    let rules = workspaces();
-    let proofs = confirmed(age);
-    let caller = access::identify_caller(NOW, Some(&rules), public, shown, &proofs)?;
+fn name_of(credential: Credential, public: bool, age: Duration) -> Result<String, RefusalKind> {
+    let workspaces = workspaces();
+    let freshness = confirmed(age);
+    let caller = access::identify_caller(NOW, Some(&workspaces), public, credential, &freshness)?;
     Ok(caller
         .name()
         .map_or_else(String::new, |name| name.to_string()))
@@ -53,20 +53,20 @@
 
 #[test]
 fn keys_found() {
-    let young = Duration::from_millis(100);
-    assert_eq!(name_of(credential("a"), false, young), Ok("hall".into()));
-    assert_eq!(name_of(credential("b"), false, young), Ok("hall".into()));
-    assert_eq!(name_of(credential("c"), false, young), Ok("port".into()));
+    let fresh = Duration::from_millis(100);
+    assert_eq!(name_of(credential("a"), false, fresh), Ok("hall".into()));
+    assert_eq!(name_of(credential("b"), false, fresh), Ok("hall".into()));
+    assert_eq!(name_of(credential("c"), false, fresh), Ok("port".into()));
     assert_eq!(
-        name_of(credential("d"), false, young),
+        name_of(credential("d"), false, fresh),
         Err(RefusalKind::Unauthorized)
     );
     assert_eq!(
-        name_of(Credential::Missing, false, young),
+        name_of(Credential::Missing, false, fresh),
         Err(RefusalKind::Unauthorized)
     );
     assert_eq!(
-        name_of(Credential::Unreadable, false, young),
+        name_of(Credential::Unreadable, false, fresh),
         Err(RefusalKind::Unauthorized)
     );
 }
@@ -74,32 +74,32 @@
 // A VM with a stale configuration must not reject a valid new key for good; the caller may retry.
 #[test]
 fn unsure_comes_back() {
-    let old = Duration::from_secs(5);
+    let stale = Duration::from_secs(5);
     assert_eq!(
-        name_of(credential("d"), false, old),
+        name_of(credential("d"), false, stale),
         Err(RefusalKind::NotReady)
     );
     assert_eq!(
-        name_of(Credential::Missing, false, old),
+        name_of(Credential::Missing, false, stale),
         Err(RefusalKind::NotReady)
     );
     // Known keys are still accepted, as an outage of the store would otherwise stop all traffic.
-    assert_eq!(name_of(credential("a"), false, old), Ok("hall".into()));
+    assert_eq!(name_of(credential("a"), false, stale), Ok("hall".into()));
 }
 
 #[test]
 fn public_routes() {
-    let young = Duration::from_millis(100);
-    assert_eq!(name_of(Credential::Missing, true, young), Ok(String::new()));
-    assert_eq!(name_of(credential("d"), true, young), Ok(String::new()));
-    assert_eq!(name_of(credential("c"), true, young), Ok("port".into()));
+    let fresh = Duration::from_millis(100);
+    assert_eq!(name_of(Credential::Missing, true, fresh), Ok(String::new()));
+    assert_eq!(name_of(credential("d"), true, fresh), Ok(String::new()));
+    assert_eq!(name_of(credential("c"), true, fresh), Ok("port".into()));
 }
 
 #[test]
 fn rules_without_workspaces() {
-    let proofs = confirmed(Duration::ZERO);
-    for shown in [Credential::Missing, credential("a"), Credential::Unreadable] {
-        let caller = access::identify_caller(NOW, None, false, shown, &proofs);
+    let freshness = confirmed(Duration::ZERO);
+    for credential in [Credential::Missing, credential("a"), Credential::Unreadable] {
+        let caller = access::identify_caller(NOW, None, false, credential, &freshness);
         assert_eq!(caller, Ok(CallerIdentity::Anyone));
     }
 }
@@ -118,10 +118,10 @@
 
 quickcheck! {
     fn only_own_keys(keys: Vec<String>, asked: String) -> bool {
-        let rows = vec![workspace("one", &keys.iter().map(String::as_str).collect::<Vec<_>>())];
-        let rules = Workspaces::new(rows);
-        let known = rules.by_digest(&KeyDigest::of(asked.as_bytes())).is_some();
-        known == keys.contains(&asked)
+        let all = vec![workspace("one", &keys.iter().map(String::as_str).collect::<Vec<_>>())];
+        let workspaces = Workspaces::new(all);
+        let is_known = workspaces.by_digest(&KeyDigest::of(asked.as_bytes())).is_some();
+        is_known == keys.contains(&asked)
     }
 
     fn hex_read_back(key: String) -> bool {
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -53,8 +53,8 @@
 
 /// Sends one VM's report on the request "bad" to another VM.
 fn send_report(from: &Quarantine, to: &mut Quarantine, now: Duration) {
-    if let Some(told) = from.report(now, fingerprint("bad"), true) {
-        to.apply_report(now, &told, EvidenceSource::Peer);
+    if let Some(report) = from.report(now, fingerprint("bad"), true) {
+        to.apply_report(now, &report, EvidenceSource::Peer);
     }
 }
 
@@ -323,18 +323,18 @@
 // with two ends; other VMs do not forward reports.
 #[test]
 fn concerns_all() {
-    let mut home = Quarantine::default();
+    let mut aggregator = Quarantine::default();
     for endpoint in 0..2 {
         let mut vm = Quarantine::default();
         end_endpoint(&mut vm, ms(endpoint * 1000), endpoint, &["bad"]);
         assert_eq!(vm.take_unreported(), [fingerprint("bad")]);
         assert!(!vm.is_fleet_wide(fingerprint("bad")));
-        assert!(!home.is_fleet_wide(fingerprint("bad")));
-        send_report(&vm, &mut home, ms(1500));
+        assert!(!aggregator.is_fleet_wide(fingerprint("bad")));
+        send_report(&vm, &mut aggregator, ms(1500));
     }
-    assert!(home.is_fleet_wide(fingerprint("bad")));
+    assert!(aggregator.is_fleet_wide(fingerprint("bad")));
     let mut other = Quarantine::default();
-    send_report(&home, &mut other, ms(1600));
+    send_report(&aggregator, &mut other, ms(1600));
     assert!(other.is_fleet_wide(fingerprint("bad")));
     assert_eq!(other.take_unreported(), []);
     other.request_answered(ms(2500), fingerprint("bad"), true);
@@ -394,7 +394,7 @@
         return TestResult::discard();
     }
     let now = ms(60_000);
-    let told: Vec<QuarantineReport> = ends
+    let reports: Vec<QuarantineReport> = ends
         .iter()
         .take(8)
         .map(|(endpoint, at)| {
@@ -409,27 +409,27 @@
         .collect();
     let mut in_order = Quarantine::default();
     let mut mixed = Quarantine::default();
-    for one in &told {
-        in_order.apply_report(now, one, EvidenceSource::Peer);
+    for report in &reports {
+        in_order.apply_report(now, report, EvidenceSource::Peer);
     }
     for at in &order {
-        if let Some(one) = told.get(at % told.len().max(1)) {
-            mixed.apply_report(now, one, EvidenceSource::Peer);
+        if let Some(report) = reports.get(at % reports.len().max(1)) {
+            mixed.apply_report(now, report, EvidenceSource::Peer);
         }
     }
-    for one in told.iter().rev() {
-        mixed.apply_report(now, one, EvidenceSource::Peer);
+    for report in reports.iter().rev() {
+        mixed.apply_report(now, report, EvidenceSource::Peer);
     }
     in_order.tick(ms(61_000));
     mixed.tick(ms(61_000));
-    let holds = |quarantine: &Quarantine| quarantine.is_held(fingerprint("bad"));
+    let is_held = |quarantine: &Quarantine| quarantine.is_held(fingerprint("bad"));
     // If one endpoint has ends at two times, the first one reported is kept.
-    let mut named: Vec<u8> = ends.iter().take(8).map(|(endpoint, _)| *endpoint).collect();
-    named.sort_unstable();
-    let all = named.len();
-    named.dedup();
-    match named.len() == all {
-        true => TestResult::from_bool(holds(&in_order) == holds(&mixed)),
+    let mut endpoints: Vec<u8> = ends.iter().take(8).map(|(endpoint, _)| *endpoint).collect();
+    endpoints.sort_unstable();
+    let all = endpoints.len();
+    endpoints.dedup();
+    match endpoints.len() == all {
+        true => TestResult::from_bool(is_held(&in_order) == is_held(&mixed)),
         false => TestResult::discard(),
     }
 }
