--- a/src/decide/quota/counts.rs
+++ b/src/decide/quota/counts.rs
@@ -1,4 +1,4 @@
-//! Counts of requests as VMs tell them to each other.
+//! Request counts as sent between VMs.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,34 +13,36 @@
 pub struct WorkspaceCount {
     pub workspace: WorkspaceKey,
     pub admitted: u32,
-    /// Admitted or refused.
+    /// Requests received: admitted or refused.
     pub asked: u32,
 }
 
-/// Requests of a failure domain, as its delegate adds them up.
+/// Requests of a failure domain, added up by its delegate.
 #[derive(Debug, Clone, Default)]
 pub struct DomainCounts {
     pub vms: u32,
-    /// On average.
+    /// Average over the VMs.
     pub counted_for: Duration,
-    /// Those with most first.
+    /// Sorted by requests, the most first.
     pub rows: Vec<WorkspaceCount>,
     pub(super) by_vm: HashMap<VmId, Vec<WorkspaceCount>>,
 }
 
 impl DomainCounts {
-    /// The rows without one VM's own requests.
+    /// The rows minus the requests of one VM.
     pub fn without(&self, vm: VmId) -> Vec<WorkspaceCount> {
-        let own = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
-        let less = |row: &WorkspaceCount| {
-            let own = own.iter().find(|own| own.workspace == row.workspace);
+        let excluded = self.by_vm.get(&vm).map_or(&[][..], Vec::as_slice);
+        let subtract = |row: &WorkspaceCount| {
+            let excluded = excluded
+                .iter()
+                .find(|excluded| excluded.workspace == row.workspace);
             WorkspaceCount {
                 workspace: row.workspace,
-                admitted: row.admitted - own.map_or(0, |own| own.admitted),
-                asked: row.asked - own.map_or(0, |own| own.asked),
+                admitted: row.admitted - excluded.map_or(0, |excluded| excluded.admitted),
+                asked: row.asked - excluded.map_or(0, |excluded| excluded.asked),
             }
         };
-        self.rows.iter().map(less).collect()
+        self.rows.iter().map(subtract).collect()
     }
 }
 
