--- a/src/decide.rs
+++ b/src/decide.rs
@@ -1,7 +1,7 @@
-//! The decisions, pure: no socket, thread, file or clock.
+//! Pure decision logic: no sockets, threads, files or clock.
 //!
-//! Each part is a table with functions over it. A host feeds events and the present time, and reads
-//! the actions that come back; randomness comes from a generator that the host passes in.
+//! Each module is a data structure with functions over it. The caller passes in events, the current
+//! time and a random number generator, and carries out the actions that are returned.
 
 pub mod access;
 pub mod backlog;
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,7 +1,8 @@
-//! What one VM tells the others, and what it does with what it hears.
+//! Heartbeats that one VM sends to the others, and how it applies those that it receives.
 //!
-//! Heartbeats go to each VM of the own failure domain. Two delegates a domain, by rendezvous, also
-//! send to the other domains. Heartbeats carry versions; who is behind fetches from the sender.
+//! Heartbeats go to every VM of the local failure domain. Two delegates of each domain, chosen by
+//! rendezvous hashing, also send to the other domains. Heartbeats carry versions; a VM with an
+//! older version fetches the newer one from the sender.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
     ranked, ConfigVersion, DomainId, EndpointId, Incarnation, OwnerId, Revision, VmId,
 };
 
-/// VMs of a domain that watch the platform, and that speak with other domains.
+/// VMs of a domain that watch the platform and exchange heartbeats with other domains.
 pub const DELEGATES: usize = 2;
 /// VMs that poll one endpoint.
 pub const POLLERS: usize = 2;
@@ -23,29 +24,29 @@
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two heartbeats to another domain.
 pub const REMOTE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Rows in one heartbeat; keeps the datagram within one packet.
+/// Endpoint rows in one heartbeat; keeps the datagram within one packet.
 pub const ROWS_MAX: usize = 24;
-/// Unchanged rows that are told again with each heartbeat, in turn, so that a row that was lost
-/// comes again.
+/// Unchanged rows that are sent again with each heartbeat, in rotation, so that a lost row is
+/// repeated.
 pub const REFRESH_ROWS: usize = 3;
-/// No second fetch of the same thing before the first can have come.
+/// Shortest time between two fetches of the same data, so that the first one can complete.
 pub const FETCH_PAUSE: Duration = Duration::from_millis(300);
-/// What another VM said of its use of an endpoint counts no longer than this.
+/// Time after which another VM's reported use of an endpoint is dropped.
 pub const LOAD_LIFE: Duration = Duration::from_secs(5);
 
 const KEY_DELEGATE: u64 = 0x64656c;
 
-/// One VM's use of one endpoint, and what it was told by it.
+/// One VM's use of one endpoint, and the endpoint's last report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UseRow {
     pub endpoint: EndpointId,
-    /// Online requests of the sender there.
+    /// Online requests of the sender at the endpoint.
     pub online: u32,
-    /// What the endpoint last said to a poller.
+    /// The endpoint's last report to a poller.
     pub report: Option<RelayedReport>,
 }
 
-/// A report on its way between VMs.
+/// An endpoint's report as relayed between VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayedReport {
     pub incarnation: Incarnation,
@@ -59,31 +60,31 @@
 pub struct Heartbeat {
     pub card: VmStatus,
     pub sequence: u64,
-    /// The VM that it was meant for, with the incarnation last heard, 0 for none.
+    /// Endpoints whose use or report changed, and a few unchanged ones.
     pub rows: Vec<UseRow>,
 }
 
-/// What a VM does next.
+/// An action that the caller carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Send {
         to: SocketAddr,
         heartbeat: Heartbeat,
     },
-    /// Ask this VM for its configuration.
+    /// Fetch the configuration from this VM.
     FetchConfig {
         from: SocketAddr,
         version: ConfigVersion,
     },
-    /// Ask this VM for job records after the own revision.
+    /// Fetch job records after the local revision from this VM.
     FetchJobs { from: SocketAddr },
     /// Ask an endpoint for its report.
     Poll { endpoint: EndpointId },
-    /// A later process has this VM's id.
+    /// A later process has this VM's id: this one stops.
     Stop,
 }
 
-/// The view of one VM.
+/// One VM's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     pub card: VmStatus,
@@ -92,31 +93,32 @@
     next_heartbeat: Duration,
     next_far: Duration,
     polled_at: HashMap<EndpointId, Duration>,
-    /// Highest version that was heard of, and from whom.
+    /// Highest version that was received, and its sender.
     config_told: (SocketAddr, ConfigVersion),
     jobs_told: (SocketAddr, Revision),
     fetched_config_at: Option<Duration>,
     fetched_jobs_at: Option<Duration>,
-    /// Rows that changed since they were last told.
+    /// Rows that changed since they were last sent.
     dirty: VecDeque<EndpointId>,
     refresh_at: usize,
     told: HashMap<EndpointId, UseRow>,
-    /// VMs of the own failure domain that take on work, as of the last tick.
+    /// VMs of the local failure domain that accept work, as of the last tick.
     working: Vec<VmId>,
     /// Those of them whose batch process is up.
     batching: Vec<VmId>,
-    /// Home of each endpoint of the own failure domain. Invariant: made from `batching`.
+    /// Assigned VM of each endpoint of the local failure domain. Invariant: derived from
+    /// `batching`.
     homes: BTreeMap<EndpointId, VmId>,
-    /// Endpoints that this VM polls. Invariant: made from `working`.
+    /// Endpoints that this VM polls. Invariant: derived from `working`.
     polls: Vec<EndpointId>,
-    /// Number of endpoints and configuration that `homes` and `polls` were made for.
+    /// Number of endpoints and configuration version that `homes` and `polls` were derived from.
     made_for: (usize, ConfigVersion),
-    /// Use by other VMs: what each said, and when.
+    /// Use by other VMs: requests as last reported, and the time of the report.
     uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
 }
 
 impl Fleet {
-    /// A VM that has heard of no other.
+    /// A VM that has received nothing yet.
     pub fn new(card: VmStatus) -> Fleet {
         Fleet {
             members: Members::default(),
@@ -141,7 +143,7 @@
         }
     }
 
-    /// Takes a heartbeat.
+    /// Applies a heartbeat.
     pub fn apply_heartbeat(
         &mut self,
         now: Duration,
@@ -175,10 +177,11 @@
         self.fetch(now, out);
     }
 
-    /// Fetches what this VM was told of and does not have; again while it does not come.
+    /// Fetches newer versions that were announced and are missing here, and retries until they
+    /// arrive.
     ///
-    /// The failure: a second change comes right after a first one whose fetch is under way. Asked
-    /// for only when it is heard, it would wait for the next heartbeat from afar.
+    /// It also runs on each tick: without this, a second change that is announced while the first
+    /// one's fetch is in flight would wait for the next heartbeat from a remote domain.
     fn fetch(&mut self, now: Duration, out: &mut Vec<Action>) {
         let (from, version) = self.config_told;
         if version > self.card.config && due(self.fetched_config_at, now) {
@@ -222,14 +225,15 @@
                 models,
             },
         );
-        // News of another domain goes on to the own one; news of the own domain came from it.
+        // Changes from a remote domain are forwarded to the local one; those of the local domain
+        // came from it.
         if news && domain != self.card.domain {
             self.mark_changed(id);
         }
     }
 
-    /// Takes an endpoint's own report. Only what others decide by is news to them: told with each
-    /// poll, reports would be most of the bytes between VMs.
+    /// Applies an endpoint's own report. Only a change of the state that other VMs use is sent on:
+    /// sent with each poll, reports would be most of the bytes between VMs.
     pub fn apply_endpoint_report(
         &mut self,
         now: Duration,
@@ -253,14 +257,14 @@
         }
     }
 
-    /// Has a row told with the next heartbeat.
+    /// Includes a row in the next heartbeat.
     pub fn mark_changed(&mut self, id: EndpointId) {
         if !self.dirty.contains(&id) {
             self.dirty.push_back(id);
         }
     }
 
-    /// Sends, polls and forgets what is due.
+    /// Sends heartbeats, polls endpoints and drops expired state when each is due.
     pub fn tick(&mut self, now: Duration, endpoints: &mut Endpoints, out: &mut Vec<Action>) {
         self.members.tick(now);
         self.fetch(now, out);
@@ -277,7 +281,7 @@
         self.poll(now, out);
     }
 
-    /// Tells everybody at once, as when leaving.
+    /// Sends the next heartbeats immediately to all VMs, for example before leaving.
     pub fn send_now(&mut self) {
         self.next_heartbeat = Duration::ZERO;
         self.next_far = Duration::ZERO;
@@ -320,7 +324,8 @@
         }
     }
 
-    /// The two VMs of another domain to speak with: those heard lately, else any that are known.
+    /// Whether a VM is one of the two targets in a remote domain: living VMs first, else any known
+    /// one.
     fn far_target(&self, now: Duration, vm: VmId, domain: DomainId) -> bool {
         let of_domain = || {
             self.members
@@ -332,7 +337,7 @@
         let mut targets = ranked(KEY_DELEGATE, alive);
         targets.truncate(DELEGATES);
         if targets.len() < DELEGATES {
-            // Which of the silent ones lives is not known: try them in turn.
+            // Which of the silent VMs is alive is not known: try them in rotation.
             let mut silent: Vec<VmId> = of_domain()
                 .filter(|r| !r.alive(now))
                 .map(|r| r.card.vm)
@@ -391,7 +396,7 @@
         }
     }
 
-    /// Places endpoints on VMs anew when either have changed.
+    /// Assigns endpoints to VMs again when VMs, endpoints or configuration have changed.
     fn place(&mut self, now: Duration, endpoints: &Endpoints) {
         let (domain, card) = (self.card.domain, &self.card);
         let mut working = self.members.ranked_for(now, card, domain, 0);
@@ -432,12 +437,12 @@
         }
     }
 
-    /// Whether this VM is the first of the delegates: the one that tries for the lease of orders.
+    /// Whether this VM is the first delegate, the one that tries to acquire the lease of orders.
     pub fn is_first_delegate(&self, now: Duration) -> bool {
         self.delegate_rank(now) == Some(0)
     }
 
-    /// Whether this VM watches the platform and speaks with other domains.
+    /// Whether this VM watches the platform and exchanges heartbeats with other domains.
     pub fn is_delegate(&self, now: Duration) -> bool {
         self.delegate_rank(now).is_some_and(|rank| rank < DELEGATES)
     }
@@ -449,12 +454,12 @@
         ranked.iter().position(|vm| *vm == self.card.vm)
     }
 
-    /// The VM whose batch process may use an endpoint of the own domain.
+    /// The VM whose batch process may use an endpoint of the local domain.
     pub fn assigned_vm(&self, endpoint: EndpointId) -> Option<VmId> {
         self.homes.get(&endpoint).copied()
     }
 
-    /// Batch processes of the own domain that are up.
+    /// Batch processes of the local domain that are up.
     pub fn batch_owners(&self) -> Vec<OwnerId> {
         let batch = |vm: &VmId| match *vm == self.card.vm {
             true => Some(self.card.batch),
@@ -463,7 +468,7 @@
         self.batching.iter().filter_map(batch).collect()
     }
 
-    /// VMs of the own domain whose batch process is up.
+    /// VMs of the local domain whose batch process is up.
     pub fn batch_vms(&self) -> &[VmId] {
         &self.batching
     }
--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -1,4 +1,4 @@
-//! Which VMs of the own failure domain are alive, from their heartbeats.
+//! Which VMs are alive, from their heartbeats.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,13 +10,13 @@
 
 /// Time between two heartbeats to the same VM.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// A VM silent for so long is out of use: six heartbeats, so that at 5% loss a false removal
-/// needs six losses in a row.
+/// Time without a heartbeat after which a VM is out of use: six heartbeats, so that at 5% datagram
+/// loss a false removal needs six losses in a row.
 pub const DEAD_AFTER: Duration = Duration::from_millis(2600);
-/// A VM silent for so long and not listed by the platform is forgotten.
+/// Time without a heartbeat after which a VM that the platform doesn't list is forgotten.
 pub const FORGET_AFTER: Duration = Duration::from_secs(600);
 
-/// What a VM says of itself.
+/// A VM's status as it reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmStatus {
     pub vm: VmId,
@@ -28,13 +28,13 @@
     pub leaving: bool,
     /// Its batch process, 0 when it is not up.
     pub batch: OwnerId,
-    /// Configuration in force there.
+    /// Configuration version in force there.
     pub config: ConfigVersion,
-    /// Newest revision of the job records known there.
+    /// Newest revision of the job records there.
     pub jobs: Revision,
 }
 
-/// One other VM.
+/// Another VM.
 #[derive(Debug, Clone)]
 pub struct Member {
     pub card: VmStatus,
@@ -46,35 +46,35 @@
 }
 
 impl Member {
-    /// Whether it was heard lately.
+    /// Whether a heartbeat arrived within [`DEAD_AFTER`].
     pub fn alive(&self, now: Duration) -> bool {
         self.heard_at.is_some_and(|at| now < at + DEAD_AFTER)
     }
 
-    /// Whether it takes on work.
+    /// Whether it accepts work.
     pub fn working(&self, now: Duration) -> bool {
         self.alive(now) && !self.card.leaving
     }
 }
 
-/// Effect of a heartbeat.
+/// Result of applying a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     Taken,
-    /// Late, doubled, or from an incarnation that has ended.
+    /// Late, duplicate, or from an incarnation that has ended.
     Stale,
     /// A later process has this VM's id: this one must stop.
     Superseded,
 }
 
-/// The other VMs, of all failure domains that are known.
+/// All known VMs but this one, of all failure domains.
 #[derive(Debug, Default)]
 pub struct Members {
     pub rows: HashMap<VmId, Member>,
 }
 
 impl Members {
-    /// Takes a heartbeat.
+    /// Applies a heartbeat.
     pub fn apply_heartbeat(
         &mut self,
         now: Duration,
@@ -110,7 +110,7 @@
         HeartbeatOutcome::Taken
     }
 
-    /// Takes the platform's list: adds VMs to send to, and removes none that is heard.
+    /// Applies the platform's list: adds VMs to send to, and removes none whose heartbeats arrive.
     pub fn apply_vm_list(&mut self, own: &VmStatus, cards: impl IntoIterator<Item = VmStatus>) {
         self.rows.values_mut().for_each(|row| row.listed = false);
         for card in cards {
@@ -131,13 +131,14 @@
         }
     }
 
-    /// Drops VMs that are neither heard nor listed.
+    /// Drops VMs that are neither listed nor heard from within [`FORGET_AFTER`].
     pub fn tick(&mut self, now: Duration) {
         self.rows
             .retain(|_, row| row.listed || row.heard_at.is_some_and(|at| now < at + FORGET_AFTER));
     }
 
-    /// VMs of a domain that take on work, `own` included when it does, best first for `key`.
+    /// VMs of a domain that accept work, in rendezvous order for `key`; this VM is included if it
+    /// does.
     pub fn ranked_for(
         &self,
         now: Duration,
@@ -154,7 +155,7 @@
         ranked(key, others.chain(own_id))
     }
 
-    /// Like [`Members::ranked_for`], for VMs whose batch process is up.
+    /// Like [`Members::ranked_for`], for VMs of the local domain whose batch process is up.
     pub fn batch_ranked(&self, now: Duration, own: &VmStatus, key: u64) -> Vec<VmId> {
         let others = self
             .rows
--- a/src/decide/peers.rs
+++ b/src/decide/peers.rs
@@ -1,7 +1,9 @@
-//! The other serving processes: who lives, what each knows, whom to ask.
+//! State of the other serving processes: which ones are alive, what versions they have, and which
+//! of them answers a query.
 //!
-//! In a small fleet all is known from heartbeats. In a large one a VM hears its delegates only: who lives
-//! it then knows from the registrations in the store, and what the others have from summaries.
+//! In a small fleet all of this comes from heartbeats. In a large one a VM receives messages from
+//! its delegates only: which VMs are alive comes from the registrations in the store, and their
+//! state from domain summaries.
 
 mod asking;
 mod delegates;
@@ -25,34 +27,34 @@
 use super::backlog::RouteKey;
 use crate::id::{self, ranked, ConfigVersion, DomainId, OwnerId, Revision, VmId};
 
-/// A VM heard within this time lives: three heartbeats.
+/// Time after the last heartbeat for which a VM counts as alive: three heartbeats.
 const HEARD_LIFE: Duration = Duration::from_millis(1700);
-/// A heartbeat that is no older tells of all that callers may have read there long enough ago for
-/// others to be asked for it.
+/// Age up to which a heartbeat covers every record that callers may have read at its sender long
+/// enough ago to ask another VM for it.
 const JUST_HEARD: Duration = Duration::from_millis(750);
-/// Orders the VMs of a failure domain by fitness to watch; any constant does.
+/// Orders the VMs of a failure domain for the choice of the watching VM; any constant does.
 const KEY_WATCHER: u64 = 0x7761_7463_6865_7273;
-/// Orders the VMs by fitness to prove rules and endpoints; any constant does.
+/// Orders the VMs that refresh rules and endpoints from the store; any constant does.
 const KEY_PROVER: u64 = 0x7072_6f76_6572_7331;
-/// A VM that is neither registered nor heard for so long is forgotten.
+/// Time after which a VM that is neither registered nor sends heartbeats is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// One other VM.
+/// Another VM.
 #[derive(Debug, Clone)]
 struct Peer {
     domain: DomainId,
     gossip_address: SocketAddr,
-    /// Known once it was heard.
+    /// Set by the first heartbeat, or by a registration with a port.
     peer_address: Option<SocketAddr>,
     owner: OwnerId,
     sequence: u64,
     heard_at: Option<Duration>,
     seen_at: Duration,
-    /// In the store under its lease.
+    /// It is in the store under its lease.
     registered: bool,
     draining: bool,
     store: bool,
-    /// Since when each of its heartbeats says so.
+    /// Since when each of its heartbeats has reported an available store.
     store_since: Option<Duration>,
     rules: ConfigVersion,
     endpoints: Revision,
@@ -62,33 +64,34 @@
     core_share: f64,
 }
 
-/// This VM, among those that may watch and speak for others.
+/// This VM as a candidate for watching the store and for delegate.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalVm {
     pub vm: VmId,
     pub domain: DomainId,
     pub core_share: f64,
     pub draining: bool,
-    /// It reaches the metadata store and does not drain.
+    /// The metadata store answers it and it is not draining.
     pub fit: bool,
 }
 
-/// The other VMs.
+/// All known VMs but this one.
 #[derive(Debug)]
 pub struct Peers {
     rows: HashMap<VmId, Peer>,
-    /// Addresses from the settings, spoken to until their VMs are known.
+    /// Configured addresses that receive heartbeats until their VMs are known.
     pub seeds: Vec<SocketAddr>,
     mesh_max: usize,
-    /// What delegates have told.
+    /// State of failure domains from their delegates' summaries.
     pub domains: Domains,
-    /// Delegates of the own failure domain; empty while the fleet is small.
+    /// Delegates of the local failure domain; empty while the fleet is small.
     delegates: Vec<VmId>,
-    /// Delegates of the other failure domains, and which of their failure domain each is; known to delegates only.
+    /// Delegates of the other failure domains, each with its rank in its domain; filled on
+    /// delegates only.
     far_delegates: Vec<(usize, VmId)>,
-    /// Since when a VM was first counted on as a delegate.
+    /// Since when a VM has been expected to act as a delegate.
     expected: HashMap<VmId, Duration>,
-    /// Processes in whose place a newer one of their VM was seen, and when.
+    /// Processes that a newer process of the same VM has replaced, and when that was seen.
     replaced: HashMap<OwnerId, Duration>,
 }
 
@@ -99,7 +102,7 @@
 }
 
 impl Peers {
-    /// No VM is known yet; up to `mesh_max` of them tell each other.
+    /// Starts without known VMs; up to `mesh_max` VMs form a full mesh.
     pub fn new(mesh_max: usize) -> Peers {
         Peers {
             rows: HashMap::new(),
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Takes all VMs that are registered in the store.
+    /// Applies the list of all VMs that are registered in the store.
     pub fn apply_registrations(
         &mut self,
         now: Duration,
@@ -164,13 +167,13 @@
         }
     }
 
-    /// Whether the process of a heartbeat was heard before.
+    /// Whether a heartbeat of the same process arrived before.
     pub fn is_known_process(&self, beat: &Heartbeat) -> bool {
         let known = self.rows.get(&id::of(&beat.name));
         known.is_some_and(|peer| peer.owner == beat.owner && peer.heard_at.is_some())
     }
 
-    /// Takes a heartbeat; false when it is late or doubled.
+    /// Applies a heartbeat; false when it is late or duplicate.
     pub fn apply_heartbeat(&mut self, now: Duration, from: SocketAddr, beat: &Heartbeat) -> bool {
         let vm = id::of(&beat.name);
         let known = self.rows.get(&vm);
@@ -207,12 +210,13 @@
         true
     }
 
-    /// Whether the process that owns something lives, as far as can be told.
+    /// Whether the process with this owner id is alive, as far as is known here.
     pub fn is_owner_alive(&self, now: Duration, own: OwnerId, owner: OwnerId) -> bool {
         owner == own || self.living_owners(now).contains(&owner)
     }
 
-    /// All other processes that live, as far as can be told; a look at hundreds of jobs asks once.
+    /// All other processes that are alive, as far as is known here. Callers that check hundreds of
+    /// jobs call this once.
     pub fn living_owners(&self, now: Duration) -> HashSet<OwnerId> {
         let rows = self.rows.values();
         let living = rows.filter(|peer| peer.registered || peer.lives(now));
@@ -222,18 +226,18 @@
         owners.filter(|owner| *owner != 0).collect()
     }
 
-    /// The process of a VM that was last known.
+    /// The last known process of a VM.
     pub fn owner_of(&self, vm: VmId) -> Option<OwnerId> {
         self.rows.get(&vm).map(|peer| peer.owner)
     }
 
-    /// Whether a newer process of its VM runs in its place: a VM has one at a time, so this one is gone
-    /// for certain, and nobody needs to wait whether it comes back.
+    /// Whether a newer process of the same VM has replaced this one. A VM runs one process at a
+    /// time, so the old one is certainly gone and no caller has to wait for its return.
     pub fn is_replaced(&self, owner: OwnerId) -> bool {
         self.replaced.contains_key(&owner)
     }
 
-    /// Place of `own` in the order of all VMs that take on work, for a key.
+    /// Rank of this VM among all VMs that accept work, in the order for `key`.
     pub fn rank(&self, now: Duration, own: VmId, key: u64) -> usize {
         let others = self.rows.iter();
         let working = others.filter(|(vm, peer)| self.works(now, **vm, peer));
@@ -242,7 +246,7 @@
         order.iter().position(|vm| *vm == own).unwrap_or(0)
     }
 
-    /// The process that goes on with a job which this VM hands over; all VMs would choose alike.
+    /// The process that takes over a job from this VM; all VMs choose the same one.
     pub fn successor(&self, now: Duration, key: u64) -> Option<OwnerId> {
         let rows = self.rows.iter();
         let fit = rows
@@ -251,36 +255,37 @@
         self.rows.get(&first).map(|peer| peer.owner)
     }
 
-    /// Whether a VM takes on work: heard of late in a small fleet, registered in a large one, where most
-    /// are never heard.
+    /// Whether a VM accepts work. It must be alive by heartbeats in a small fleet, registered in a
+    /// large one, where most VMs send none to this one.
     fn works(&self, now: Duration, vm: VmId, peer: &Peer) -> bool {
         let here = peer.lives(now) || (self.is_large() && peer.registered);
         here && !peer.draining && !self.domains.is_draining(now, vm)
     }
 
-    /// Whether VMs tell their delegates only.
+    /// Whether the fleet is too large for a full mesh, so that VMs send heartbeats to delegates.
     pub fn is_large(&self) -> bool {
         self.rows.len() + 1 > self.mesh_max
     }
 
-    /// Whether a VM hears the others of its failure domain themselves, and not only what delegates tell of them. `own` is of
-    /// the failure domain `home`.
+    /// Whether a VM receives the heartbeats of its failure domain itself instead of the delegates'
+    /// summaries only.
     pub fn receives_domain_heartbeats(&self, own: VmId, home: DomainId) -> bool {
         !self.is_large() || self.is_delegate(own) || self.is_domain_meshed(home)
     }
 
-    /// Whether the VMs of a failure domain tell each other.
+    /// Whether the VMs of a failure domain send heartbeats to each other.
     pub fn is_domain_meshed(&self, domain: DomainId) -> bool {
         let near = self.rows.values().filter(|peer| peer.domain == domain);
         !self.is_large() || near.count() < DOMAIN_MESH_PEERS_MAX
     }
 
-    /// Whether a VM is a delegate of the own failure domain.
+    /// Whether a VM is a delegate of the local failure domain.
     pub fn is_delegate(&self, vm: VmId) -> bool {
         self.delegates.contains(&vm)
     }
 
-    /// Drops VMs that are gone and chooses delegates; true when this VM became one or ceased to be one.
+    /// Drops expired VMs and chooses delegates; true when this VM became a delegate or ceased to be
+    /// one.
     pub fn tick(&mut self, now: Duration, own: LocalVm) -> bool {
         self.rows
             .retain(|_, peer| peer.registered || now < peer.seen_at + FORGET_AFTER);
@@ -306,7 +311,7 @@
         before != after
     }
 
-    /// Where the living process with this owner id answers other VMs.
+    /// Peer address of the living process with this owner id.
     pub fn address(&self, now: Duration, owner: OwnerId) -> Option<SocketAddr> {
         let large = self.is_large();
         let rows = self.rows.values();
@@ -316,8 +321,8 @@
             .and_then(|peer| peer.peer_address)
     }
 
-    /// Whether all registered VMs were heard just now, and none knows a newer job record. Never so in a
-    /// large fleet, where most are not heard.
+    /// Whether a fresh heartbeat of every registered VM has arrived and none reports a newer job
+    /// record. Never true in a large fleet, where most VMs send none to this one.
     pub fn all_confirm_jobs(&self, now: Duration, jobs: Revision) -> bool {
         let told = |peer: &Peer| {
             let heard = peer.heard_at.is_some_and(|at| now < at + JUST_HEARD);
@@ -327,19 +332,19 @@
         rows.clone().next().is_some() && rows.all(told)
     }
 
-    /// Other VMs that may let jobs in: whoever is registered or was heard of late.
+    /// Number of other VMs that may admit jobs: those registered or recently alive.
     pub fn admitting_vms(&self) -> u32 {
         self.rows.len() as u32
     }
 
-    /// Other VMs that are registered or were heard of late.
+    /// Number of other VMs that are registered or alive.
     pub fn expected_vms(&self, now: Duration) -> u32 {
         let rows = self.rows.values();
         let expected = rows.filter(|peer| peer.registered || peer.lives(now));
         expected.count() as u32
     }
 
-    /// VMs that live, for the dump.
+    /// Number of other VMs that are alive, for the dump.
     pub fn living_vms(&self, now: Duration) -> usize {
         let large = self.is_large();
         let rows = self.rows.values();
--- a/src/decide/peers/asking.rs
+++ b/src/decide/peers/asking.rs
@@ -1,4 +1,4 @@
-//! Whom to ask for what.
+//! Selects the VM that answers a query, watches the store or refreshes from it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,37 +7,38 @@
 use super::{LocalVm, Peers, KEY_PROVER, KEY_WATCHER};
 use crate::id::{ranked, ConfigVersion, DomainId, Revision, VmId};
 
-/// What a VM knows.
+/// Versions that a VM has.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownVersions {
     pub rules: ConfigVersion,
     pub endpoints: Revision,
 }
 
-/// Whom to ask for what.
+/// Peer addresses of VMs with newer versions.
 pub struct NewerPeers {
     pub rules: Option<SocketAddr>,
     pub endpoints: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Whether others are to speak for this VM, heard or not.
+    /// Whether delegates represent this VM, whether or not their summaries arrive.
     pub fn is_represented(&self, own: LocalVm) -> bool {
         self.is_large() && !self.delegates.is_empty() && !self.is_delegate(own.vm)
     }
 
-    /// Whether this VM need not follow the store itself: it is no delegate of a large fleet, and one tells it
-    /// what is new.
+    /// Whether this VM need not watch the store itself: it is no delegate of a large fleet, and a
+    /// living delegate sends it updates.
     pub fn is_updated_by_delegate(&self, now: Duration, own: LocalVm) -> bool {
         self.is_represented(own) && self.watching_delegate(now, own).is_some()
     }
 
-    /// Place of this VM among those that prove rules and endpoints for the others; `None` for one that the store doesn't
-    /// answer, and for those far behind. All VMs work it out alike from what they hear.
+    /// Rank of this VM among those that refresh rules and endpoints from the store for the others;
+    /// `None` for a VM that the store doesn't answer, and for VMs too far down the order. All VMs
+    /// compute the same order from the messages that they receive.
     ///
-    /// Calls on the store are paid for and rated, so that not every VM asks on its own: in a small fleet all are in one
-    /// order; in a large one the delegates of one failure domain come first, then those of each other one, then two VMs
-    /// of each that they speak for.
+    /// Store calls are billed and rate-limited, so not every VM makes its own. A small fleet has
+    /// one order. In a large one the delegates of one failure domain come first, then those of each
+    /// other domain, then two of the VMs that they represent in each.
     pub fn refresh_rank(&self, now: Duration, own: LocalVm) -> Option<usize> {
         if !own.fit && !own.draining {
             return None;
@@ -75,7 +76,7 @@
         fit.map(|speaker| speaker.domain)
     }
 
-    /// Other VMs of the failure domain that its delegates speak for.
+    /// Other VMs of the local failure domain that its delegates represent.
     fn spoken_for(&self, own: LocalVm) -> impl Iterator<Item = VmId> + '_ {
         let rows = self.rows.iter();
         let members = rows.filter(move |(vm, peer)| {
@@ -84,10 +85,10 @@
         members.map(|(vm, _)| *vm)
     }
 
-    /// The VM of the own failure domain that watches the metadata store for the others, where it is
-    /// not this one: all work it out alike from what they hear, and one that the store turns away is
-    /// passed over. `None` as well while two of them think so of themselves, which costs calls only.
-    /// In a large fleet the delegates watch.
+    /// The VM of the local failure domain that watches the metadata store for the others, if it is
+    /// not this one. All VMs compute it from the messages that they receive, and a VM that the
+    /// store doesn't answer is skipped. While two VMs each consider themselves first, both get
+    /// `None`; this costs extra calls only. In a large fleet the delegates watch.
     pub fn watching_vm(&self, now: Duration, own: LocalVm) -> Option<SocketAddr> {
         if self.is_large() {
             return self.watching_delegate(now, own);
@@ -103,12 +104,12 @@
         peer.peer_address
     }
 
-    /// A delegate of the own failure domain that speaks, one that the store answers if there is one; `None` for
-    /// a delegate that is answered itself.
+    /// A living delegate of the local failure domain, preferably one that the store answers; `None`
+    /// for a delegate that the store answers itself.
     ///
-    /// The failure: the store is away, no delegate is answered, and 250 VMs go to the store in their place, each
-    /// several times a second, which is paid for and brings nothing. While a delegate speaks its VMs stay with it;
-    /// one that the store turns away passes on what the other failure domains know.
+    /// VMs stay with a living delegate even if the store doesn't answer it. Without this, 250 VMs
+    /// would each call the store several times a second during an outage, which is billed and
+    /// returns nothing. Such a delegate still forwards what the other failure domains have.
     fn watching_delegate(&self, now: Duration, own: LocalVm) -> Option<SocketAddr> {
         if self.is_delegate(own.vm) && own.fit {
             return None;
@@ -123,8 +124,9 @@
         shared(own.vm, speakers.iter().map(|speaker| speaker.peer_address))
     }
 
-    /// A living VM that knows newer rules or endpoints than these, and that `answers`; of the VMs that know as much, one
-    /// of the own failure domain, since bytes between failure domains are dear.
+    /// Living VMs with newer rules or endpoints than `known`, among those that `answers` accepts.
+    /// Of VMs with equal versions one of the local failure domain is preferred, since bytes between
+    /// failure domains are expensive.
     pub fn newer_peers(
         &self,
         now: Duration,
@@ -160,7 +162,8 @@
         }
     }
 
-    /// A living VM that the metadata store answers: of those, the one heard last.
+    /// A living VM that the metadata store answers: the one with the latest heartbeat, else a
+    /// delegate.
     pub fn peer_with_store(&self, now: Duration) -> Option<SocketAddr> {
         let living = self.rows.values().filter(|peer| peer.lives(now));
         let reaching = living.filter(|peer| peer.store && !peer.draining);
@@ -173,7 +176,8 @@
         })
     }
 
-    /// Whether the metadata store has served a living VM for so long, by all that it said in that time.
+    /// Whether the metadata store has served a living VM for at least `time`, by all its messages
+    /// in that time.
     pub fn is_store_serving_for(&self, now: Duration, time: Duration) -> bool {
         let living = self.rows.values().filter(|peer| peer.lives(now));
         let near = living.filter_map(|peer| peer.store_since);
@@ -182,7 +186,7 @@
         since.any(|since| now >= since + time)
     }
 
-    /// The newest job record that a living VM has told of.
+    /// The newest job revision that a living VM has reported.
     pub fn newest_job_revision(&self, now: Duration) -> Revision {
         let living = self.rows.values().filter(|peer| peer.lives(now));
         let told = self.domains.living(now).map(|(_, told)| told.jobs);
@@ -191,13 +195,13 @@
     }
 }
 
-/// Place of `own` in the order of it and others, which all work out alike.
+/// Rank of the local id among it and others, which is the same on all VMs.
 fn place(own: u64, others: impl Iterator<Item = u64>) -> Option<usize> {
     let order = ranked(KEY_PROVER, others.chain([own]));
     order.iter().position(|id| *id == own)
 }
 
-/// One of several addresses: half of the VMs ask one delegate, half the other.
+/// One of several addresses: half of the VMs use one delegate, half the other.
 fn shared(vm: VmId, addresses: impl Iterator<Item = SocketAddr>) -> Option<SocketAddr> {
     let addresses: Vec<SocketAddr> = addresses.collect();
     let at = vm as usize % addresses.len().max(1);
--- a/src/decide/peers/domains.rs
+++ b/src/decide/peers/domains.rs
@@ -1,4 +1,4 @@
-//! What delegates have told of their failure domains.
+//! State of failure domains from their delegates' summaries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use crate::decide::backlog::RouteKey;
 use crate::id::{ConfigVersion, DomainId, OwnerId, Revision, VmId};
 
-/// A delegate as it last spoke.
+/// A delegate's state as last reported.
 #[derive(Debug, Clone)]
 pub struct DelegateStatus {
     owner: OwnerId,
-    /// Sequence and part of the newest summary.
+    /// Sequence number and part of the newest summary.
     newest: (u64, u8),
     heard_at: Duration,
     pub domain: DomainId,
     pub peer_address: SocketAddr,
     pub draining: bool,
     pub store: bool,
-    /// Since when each of its summaries says so.
+    /// Since when each of its summaries has reported an available store.
     pub store_since: Option<Duration>,
     pub rules: ConfigVersion,
     pub endpoints: Revision,
 }
 
-/// A failure domain as one of its delegates last told of it.
+/// A failure domain's state as last reported by one of its delegates.
 #[derive(Debug, Clone)]
 pub struct DomainStatus {
     heard_at: Duration,
@@ -38,7 +38,7 @@
     pub rivals: Vec<(VmId, u32)>,
 }
 
-/// All failure domains that were told of.
+/// All failure domains that sent summaries.
 #[derive(Debug, Default)]
 pub struct Domains {
     speakers: HashMap<VmId, DelegateStatus>,
@@ -46,7 +46,7 @@
 }
 
 impl Domains {
-    /// Takes a summary; false when it is late or doubled.
+    /// Applies a summary; false when it is late or duplicate.
     pub fn apply_summary(&mut self, now: Duration, summary: &Summary) -> bool {
         let newest = (summary.sequence, summary.part);
         let known = self.speakers.get(&summary.by);
@@ -69,7 +69,7 @@
             endpoints: summary.endpoints,
         };
         self.speakers.insert(summary.by, speaker);
-        // The first part tells all but rows, which are counted elsewhere.
+        // The first part carries everything but endpoint rows, which `Usage` counts.
         if summary.part == 0 {
             self.rows
                 .insert(summary.domain, DomainStatus::new(now, summary));
@@ -77,48 +77,48 @@
         true
     }
 
-    /// Whether a delegate was heard of late.
+    /// Whether a summary of this delegate arrived within the peer timeout.
     pub fn is_delegate_alive(&self, now: Duration, vm: VmId) -> bool {
         let speaker = self.speakers.get(&vm);
         speaker.is_some_and(|speaker| lives(now, speaker.heard_at))
     }
 
-    /// Whether a VM was ever heard as a delegate.
+    /// Whether a summary of this VM as a delegate is on record.
     pub fn was_delegate(&self, vm: VmId) -> bool {
         self.speakers.contains_key(&vm)
     }
 
-    /// A delegate that was heard of late.
+    /// A delegate that is alive.
     pub fn living_delegate(&self, now: Duration, vm: VmId) -> Option<&DelegateStatus> {
         let speaker = self.speakers.get(&vm);
         speaker.filter(|speaker| lives(now, speaker.heard_at))
     }
 
-    /// All delegates that were heard of late.
+    /// All delegates that are alive.
     pub fn living_delegates(&self, now: Duration) -> impl Iterator<Item = &DelegateStatus> {
         let speakers = self.speakers.values();
         speakers.filter(move |speaker| lives(now, speaker.heard_at))
     }
 
-    /// All failure domains that were told of lately.
+    /// All failure domains with a current summary.
     pub fn living(&self, now: Duration) -> impl Iterator<Item = (DomainId, &DomainStatus)> {
         let rows = self.rows.iter().map(|(domain, told)| (*domain, told));
         rows.filter(move |(_, told)| lives(now, told.heard_at))
     }
 
-    /// What was told lately of a failure domain.
+    /// The current state of a failure domain.
     pub fn status(&self, now: Duration, domain: DomainId) -> Option<&DomainStatus> {
         let told = self.rows.get(&domain);
         told.filter(|told| lives(now, told.heard_at))
     }
 
-    /// Whether a VM drains, by its delegate's word.
+    /// Whether a VM is draining, as its delegate reports.
     pub fn is_draining(&self, now: Duration, vm: VmId) -> bool {
         let mut living = self.living(now);
         living.any(|(_, told)| told.leaving.contains(&vm))
     }
 
-    /// Drops delegates that are long gone.
+    /// Drops delegates that have long been silent.
     pub fn tick(&mut self, now: Duration) {
         let keep = |speaker: &DelegateStatus| now < speaker.heard_at + FORGET_AFTER;
         self.speakers.retain(|_, speaker| keep(speaker));
--- a/src/decide/peers/messages.rs
+++ b/src/decide/peers/messages.rs
@@ -1,4 +1,5 @@
-//! What VMs say of themselves, and what delegates say of their failure domains.
+//! Messages between VMs: heartbeats of single VMs, and delegates' summaries of their failure
+//! domains.
 
 use std::net::SocketAddr;
 
@@ -10,7 +11,7 @@
 use crate::decide::usage::{EndpointUse, RemoteUse};
 use crate::id::{ConfigVersion, DomainId, EndpointId, Name, OwnerId, Revision, VmId};
 
-/// A process of this system as it registers itself.
+/// A serving process as registered in the store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct VmRecord {
     pub name: Name,
@@ -18,10 +19,10 @@
     /// Differs with each start of the process.
     pub owner: OwnerId,
     pub gossip_address: SocketAddr,
-    /// Where it answers other VMs; 0 where an earlier version of the program has registered.
+    /// Port on which it answers other VMs; 0 if an earlier version of the program has registered.
     #[serde(default)]
     pub peer_port: u16,
-    /// Part of a core that it has; the VMs with most of it become delegates.
+    /// CPU cores that it has; the VMs with the most become delegates.
     #[serde(default)]
     pub core_share: f64,
 }
@@ -33,21 +34,21 @@
     pub uses: EndpointUse,
 }
 
-/// What a VM says of itself.
+/// A VM's state as it reports it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
     pub name: Name,
     pub domain: DomainId,
     pub owner: OwnerId,
-    /// Grows with each heartbeat of this process; late datagrams carry lower ones.
+    /// Increases with each heartbeat of this process; late datagrams carry lower ones.
     pub sequence: u64,
     pub draining: bool,
     /// Whether the metadata store answers it.
     pub store: bool,
-    /// 0 while it knows none.
+    /// 0 while it has none.
     pub rules: ConfigVersion,
     pub endpoints: Revision,
-    /// How old the store's word is that the sender knows all rules and endpoints.
+    /// Ages of the last store confirmations that the sender has all rules and endpoints.
     pub proofs: ConfirmationAges,
     /// Of the newest record of a batch job.
     pub jobs: Revision,
@@ -56,27 +57,28 @@
     /// Tokens of its jobs' open items, by route with a limit.
     pub backlog: Vec<(RouteKey, u64)>,
     pub peer_port: u16,
-    /// Requests against quotas at this VM.
+    /// Requests counted against quotas at this VM.
     pub counts: QuotaCounts,
     pub rows: Vec<EndpointUseRow>,
 }
 
-/// Requests of workspaces within the window of quotas.
+/// Requests of workspaces within the quota window.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct QuotaCounts {
-    /// For how long they were counted, at the most the window.
+    /// Time over which they were counted, at most the window.
     pub counted_for_ms: u32,
     pub rows: Vec<WorkspaceCount>,
 }
 
-/// What a delegate says of its failure domain, to the VMs of it and to the delegates of the others.
+/// A delegate's summary of its failure domain, sent to the VMs of the domain and to the delegates
+/// of the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The delegate and its process.
     pub by: VmId,
     pub owner: OwnerId,
     pub domain: DomainId,
-    /// Grows with each round of this process.
+    /// Increases with each summary round of this process.
     pub sequence: u64,
     /// A round whose rows don't fit into one datagram has several parts, counted from 0.
     pub part: u8,
@@ -85,28 +87,29 @@
     pub draining: bool,
     /// Whether the metadata store answers the delegate.
     pub store: bool,
-    /// What the delegate itself knows, so that it can be asked for it.
+    /// Versions that the delegate itself has, so that they can be fetched from it.
     pub rules: ConfigVersion,
     pub endpoints: Revision,
     pub proofs: ConfirmationAges,
-    /// Of the newest record of a batch job that a VM of the failure domain knows.
+    /// Of the newest record of a batch job at any VM of the failure domain.
     pub jobs: Revision,
     /// Batch items that wait for a slot.
     pub waiting: u32,
     /// Tokens of open items, by route with a limit.
     pub backlog: Vec<(RouteKey, u64)>,
-    /// Processes that were heard and are not registered in the store.
+    /// Processes whose heartbeats arrive but which are not registered in the store.
     pub unregistered: Vec<OwnerId>,
-    /// VMs that drain.
+    /// VMs that are draining.
     pub leaving: Vec<VmId>,
-    /// VMs with items that wait, and how many; towards the own failure domain only.
+    /// VMs with waiting items, and how many; sent to the local failure domain only.
     pub rivals: Vec<(VmId, u32)>,
-    /// Items that the addressed VM may keep at an endpoint that has more than it runs.
+    /// Items that the addressed VM may keep at an endpoint that is over its limit.
     pub keeps: Vec<(EndpointId, u32)>,
-    /// VMs that the delegate has heard, itself included.
+    /// VMs whose heartbeats arrive at the delegate, itself included.
     pub vms: u32,
-    /// Requests against quotas at the VMs of the failure domain, but for the addressed one's own.
+    /// Requests counted against quotas at the VMs of the failure domain, without the addressed
+    /// VM's.
     pub counts: QuotaCounts,
-    /// Use of endpoints by the VMs of the failure domain, but for the addressed one's own.
+    /// Use of endpoints by the VMs of the failure domain, without the addressed VM's.
     pub rows: Vec<(EndpointId, RemoteUse)>,
 }
--- a/src/decide/peers/round.rs
+++ b/src/decide/peers/round.rs
@@ -1,4 +1,5 @@
-//! What a delegate tells at one moment, to each VM of its failure domain and to the other delegates.
+//! One summary round of a delegate: its messages to each VM of its failure domain and to the other
+//! delegates.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -10,31 +11,35 @@
 use crate::decide::quota::{DomainCounts, WorkspaceCount};
 use crate::id::{self, EndpointId, VmId};
 
-/// Bytes of a summary's lists in one datagram of 1,400, with its other fields and its authentication beside them.
+/// Bytes for a summary's lists in one datagram of 1,400, which also holds its other fields and its
+/// authentication.
 const BYTES_MAX: usize = 1300;
 /// Largest use of an endpoint: an id and four counts.
 const ROW_BYTES: usize = 16;
 /// Largest entry of any other list: an id and a count.
 const ENTRY_BYTES: usize = 13;
-/// VMs with waiting items in one summary, those with most first. The slots of an endpoint are fewer, and those
-/// left out get theirs when others have been served.
+/// VMs with waiting items in one summary, those with most first. An endpoint has fewer slots, and
+/// VMs that are left out get theirs when others have been served.
 const RIVALS_MAX: usize = 16;
-/// Endpoints in one summary where the addressed VM has to give up items; the next round names the rest.
+/// Endpoints in one summary at which the addressed VM has to give up items; the next round names
+/// the rest.
 const KEEPS_MAX: usize = 10;
-/// Processes without a registration in one summary: nearly all of a failure domain's 50, after an outage in which
-/// registrations lapsed. Jobs of one left out are run twice for a while.
+/// Processes without a registration in one summary: nearly all of a failure domain's 50, after an
+/// outage in which registrations lapsed. Jobs of a process that is left out are run twice for a
+/// while.
 const UNREGISTERED_MAX: usize = 48;
-/// VMs that drain in one summary: more are not stopped at a time.
+/// Draining VMs in one summary; no more than these are stopped at a time.
 const LEAVING_MAX: usize = 12;
-/// Routes and workspaces with waiting tokens in one summary; those left out count by the reservations in the store.
+/// Routes and workspaces with waiting tokens in one summary; those left out are counted by the
+/// reservations in the store.
 const BACKLOG_MAX: usize = 16;
-/// Workspaces with requests in one summary, those that asked most.
+/// Workspaces with requests in one summary, those with the most requests.
 const COUNTS_MAX: usize = 40;
 
-/// What a delegate has to tell.
+/// The state that a delegate sends in one round.
 #[derive(Debug)]
 pub struct SummaryRound {
-    /// Without rows.
+    /// Template for all messages of the round; has no endpoint rows.
     summary: Summary,
     uses: DomainUsage,
     counts: DomainCounts,
@@ -43,7 +48,7 @@
 }
 
 impl SummaryRound {
-    /// Sums up what was heard; `own` is the delegate's own heartbeat of this round.
+    /// Aggregates the domain's state; `own` is the delegate's own heartbeat of this round.
     pub fn new(
         own: &Heartbeat,
         peer_address: SocketAddr,
@@ -94,7 +99,7 @@
         self.keeps.contains_key(&vm)
     }
 
-    /// What one VM of the failure domain is told.
+    /// Summary for one VM of the failure domain, in parts.
     pub fn for_member(&self, vm: VmId) -> Vec<Summary> {
         let others = self.rivals.iter().filter(|(rival, _)| *rival != vm);
         let keeps = self.keeps.get(&vm).map_or(&[][..], Vec::as_slice);
@@ -107,7 +112,7 @@
         self.parts(first, &self.uses.without(vm))
     }
 
-    /// What the delegates of the other failure domains are told.
+    /// Summary for the delegates of the other failure domains, in parts.
     pub fn for_delegates(&self) -> Vec<Summary> {
         let first = Summary {
             counts: self.told_counts(self.counts.rows.clone()),
@@ -123,7 +128,8 @@
         }
     }
 
-    /// A summary with all its rows, in as many parts as they take. The first one has the other lists.
+    /// A summary with all its rows, in as many parts as they need. The first one has the other
+    /// lists.
     fn parts(&self, first: Summary, rows: &EndpointUses) -> Vec<Summary> {
         let entries = first.rivals.len()
             + first.keeps.len()
@@ -153,7 +159,7 @@
     }
 }
 
-/// The first entries of a list.
+/// The first `count` entries of a list.
 fn first<T>(mut list: Vec<T>, count: usize) -> Vec<T> {
     list.truncate(count);
     list
--- a/src/decide/peers/speaking.rs
+++ b/src/decide/peers/speaking.rs
@@ -1,4 +1,4 @@
-//! Who speaks for a failure domain, and to whom.
+//! Chooses the delegates of failure domains, and the targets of heartbeats and summaries.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,22 +15,24 @@
 use crate::decide::usage::{RemoteUse, Usage};
 use crate::id::{self, ranked, DomainId, OwnerId, Revision, VmId};
 
-/// What a delegate has heard of its failure domain.
+/// Totals of a failure domain, from the heartbeats that its delegate received.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DomainTotals {
     pub jobs: Revision,
     pub backlog: Vec<(RouteKey, u64)>,
     pub unregistered: Vec<OwnerId>,
     pub leaving: Vec<VmId>,
-    /// VMs with items that wait, those with most first.
+    /// VMs with waiting items, those with the most first.
     pub rivals: Vec<(VmId, u32)>,
 }
 
 impl Peers {
-    /// Delegates of a failure domain: the first in order that speak, or have not been counted on for long.
+    /// Delegates of a failure domain: the first VMs in order that are alive as delegates, or have
+    /// been expected to be for less than [`HEARD_LIFE`].
     ///
-    /// The failure: both delegates die at once; their registrations last for 3 s yet, and nobody would hear
-    /// anything. The next ones in order take over after a second and a half of silence.
+    /// Without this, when both delegates die at once, no VM of the domain would receive anything
+    /// until their registrations lapse after 3 s. The next ones in order take over after a second
+    /// and a half of silence.
     pub(super) fn chosen(
         &mut self,
         now: Duration,
@@ -38,7 +40,7 @@
         own: Option<LocalVm>,
     ) -> Vec<VmId> {
         let rows = self.rows.iter().filter(|(vm, peer)| {
-            // Those that speak go on when registrations lapse in an outage of the store.
+            // Living delegates stay when registrations lapse in an outage of the store.
             let here = peer.registered || self.domains.is_delegate_alive(now, **vm);
             here && peer.domain == domain && !peer.draining && !self.domains.is_draining(now, **vm)
         });
@@ -66,8 +68,9 @@
         now < since + HEARD_LIFE
     }
 
-    /// Where heartbeats go: the VMs of the own failure domain, or those of the others and whoever is
-    /// known by address alone; in a large fleet the delegates.
+    /// Where heartbeats go: to the VMs of the local failure domain (`near`), or to those of the
+    /// others and the configured addresses whose VMs are not known yet; in a large fleet to the
+    /// delegates.
     pub fn heartbeat_targets(&self, home: DomainId, near: bool) -> Vec<SocketAddr> {
         let rows = self.rows.values();
         let large = self.is_large();
@@ -86,14 +89,14 @@
         targets
     }
 
-    /// Where VMs are reached; this one is left out.
+    /// Gossip addresses of VMs; this VM and unknown ones are left out.
     pub fn addresses(&self, vms: &[VmId]) -> Vec<SocketAddr> {
         let rows = vms.iter().filter_map(|vm| self.rows.get(vm));
         rows.map(|peer| peer.gossip_address).collect()
     }
 
-    /// VMs that add up what all say on a key: the first one in order of the fleet, and the first one of the own
-    /// failure domain, which may be cut off.
+    /// VMs that aggregate the reports on a key: the first one in order of the whole fleet, and the
+    /// first one of the local failure domain, since the domain may be cut off.
     pub fn aggregators(&self, now: Duration, (own, home): (VmId, DomainId), key: u64) -> Vec<VmId> {
         let rows = self.rows.iter();
         let working = rows.filter(|(vm, peer)| self.works(now, **vm, peer));
@@ -108,14 +111,14 @@
         collectors
     }
 
-    /// Where all VMs are reached that are known, this one not among them.
+    /// Gossip addresses of all known VMs but this one.
     pub fn all_addresses(&self) -> Vec<SocketAddr> {
         let rows = self.rows.values();
         rows.map(|peer| peer.gossip_address).collect()
     }
 
-    /// Where a delegate's summaries go: the other delegates of its failure domain hear them too, so that
-    /// they know that it speaks.
+    /// Recipients of a delegate's summaries in its failure domain. They include the other
+    /// delegates, which see from them that it is alive.
     pub fn domain_peers(&self, home: DomainId) -> Vec<(VmId, SocketAddr)> {
         let rows = self.rows.iter().filter(|(_, peer)| peer.domain == home);
         rows.map(|(vm, peer)| (*vm, peer.gossip_address)).collect()
@@ -127,33 +130,34 @@
         rows.map(|(vm, peer)| (*vm, peer.owner)).collect()
     }
 
-    /// Whether a delegate tells its failure domain in this one of its rounds.
+    /// Whether a delegate sends summaries to its failure domain in this round.
     pub fn is_domain_round(&self, round: u64, home: DomainId) -> bool {
         !self.is_domain_meshed(home) || round.is_multiple_of(ROUNDS_MESHED)
     }
 
-    /// Whether a delegate tells the other failure domains in this one of its rounds.
+    /// Whether a delegate sends summaries to the other failure domains in this round.
     pub fn is_remote_round(&self, round: u64) -> bool {
         let others = self.far_delegates.len().div_ceil(DELEGATES);
         round.is_multiple_of(far_rounds(others + 1))
     }
 
-    /// Where a delegate's summaries of its failure domain go in the others.
+    /// Recipients of a delegate's summaries in the other failure domains.
     pub fn remote_delegate_addresses(&self) -> Vec<SocketAddr> {
         let vms: Vec<VmId> = self.far_delegates.iter().map(|(_, vm)| *vm).collect();
         self.addresses(&vms)
     }
 
-    /// Whether a VM passes a summary of another failure domain on: the first delegate those of the first one
-    /// there, the second those of the second, so that each comes once.
+    /// Whether a VM forwards a summary of another failure domain: the first local delegate forwards
+    /// those of the first remote one, the second those of the second, so that each summary arrives
+    /// once.
     pub fn forwards_summary(&self, own: VmId, summary: &Summary) -> bool {
         let place = self.delegates.iter().position(|vm| *vm == own);
         let by = self.far_delegates.iter().find(|(_, vm)| *vm == summary.by);
-        // One that this VM does not count as a delegate is passed on by the first.
+        // The first delegate forwards those of a sender that is no delegate in this VM's view.
         place.is_some_and(|place| place == by.map_or(0, |(place, _)| *place))
     }
 
-    /// What this delegate tells at one moment; `own` is what it says of itself.
+    /// This delegate's summary round; `own` is its own heartbeat.
     pub fn summary_round(
         &self,
         now: Duration,
@@ -174,7 +178,7 @@
         SummaryRound::new(own, peer_address, summed, uses, counts, endpoints)
     }
 
-    /// What this delegate has heard of the VMs of its failure domain, for a summary; `own` of itself.
+    /// Totals of the VMs of the failure domain, for a summary; `own` is this delegate's heartbeat.
     fn summed(&self, now: Duration, home: DomainId, own: &Heartbeat) -> DomainTotals {
         let rows = self.rows.iter().filter(|(_, peer)| peer.domain == home);
         let heard: Vec<(&VmId, &Peer)> = rows.filter(|(_, peer)| peer.lives(now)).collect();
--- a/src/decide/peers/uses.rs
+++ b/src/decide/peers/uses.rs
@@ -1,4 +1,4 @@
-//! What the VMs of a failure domain have at each endpoint, summed up for each of them.
+//! Use of endpoints by the VMs of a failure domain, summed for each of them.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -6,10 +6,10 @@
 use crate::decide::usage::{own_excess, RemoteUse};
 use crate::id::{EndpointId, VmId};
 
-/// One VM's use of endpoints.
+/// Use of endpoints by one VM or several.
 pub type EndpointUses = Vec<(EndpointId, RemoteUse)>;
 
-/// Uses of all VMs of a failure domain, as its delegate has heard them.
+/// Use of endpoints by all VMs of a failure domain, as reported to its delegate.
 #[derive(Debug, Default)]
 pub struct DomainUsage {
     by_vm: HashMap<VmId, EndpointUses>,
@@ -18,7 +18,7 @@
 }
 
 impl DomainUsage {
-    /// Adds up what each VM said.
+    /// Sums the use of all VMs.
     pub fn new(said: impl IntoIterator<Item = (VmId, EndpointUses)>) -> DomainUsage {
         let mut sums = DomainUsage::default();
         for (vm, uses) in said {
@@ -36,7 +36,7 @@
         rows.map(|(endpoint, sum)| (*endpoint, *sum)).collect()
     }
 
-    /// The sums over all VMs but one, which knows its own.
+    /// The sums over all VMs but one, which adds its own counts.
     pub fn without(&self, vm: VmId) -> EndpointUses {
         let Some(own) = self.by_vm.get(&vm) else {
             return self.all();
@@ -51,10 +51,11 @@
         sums.into_iter().filter(|(_, sum)| used(sum)).collect()
     }
 
-    /// How many items each VM may keep at endpoints that have more than they run.
+    /// Number of items that each VM may keep at endpoints that are over their limit.
     ///
-    /// The failure: a VM that knows sums only can't tell which of the others gives up how many; all give up
-    /// theirs, or none. The delegate has heard each of them and works it out for all.
+    /// A VM has only the sums over the others and can't tell how many items each of them gives up:
+    /// all VMs would give up theirs, or none. The delegate has the counts of each VM and computes
+    /// the result for all.
     pub fn keeps(&self, endpoints: &Endpoints) -> HashMap<VmId, Vec<(EndpointId, u32)>> {
         let mut keeps: HashMap<VmId, Vec<(EndpointId, u32)>> = HashMap::new();
         for (id, sum) in &self.all {
@@ -86,8 +87,8 @@
     }
 }
 
-/// Items that `batch` of the own failure domain have to give up at an endpoint: their part of what all
-/// failure domains have too much there.
+/// Items that the local failure domain has to give up of its `batch` at an endpoint: its part of
+/// the excess of all failure domains there.
 fn excess(row: &Endpoint, batch: u32) -> u32 {
     let over = (row.online() + row.batch).saturating_sub(row.limit.slots() as u32);
     let excess = over.min(row.batch.saturating_sub(row.kept));
--- a/src/decide/peers/waiting.rs
+++ b/src/decide/peers/waiting.rs
@@ -1,4 +1,4 @@
-//! What waits at the other VMs.
+//! Work that waits at the other VMs.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use crate::id::{DomainId, OwnerId, VmId};
 
 impl Peers {
-    /// Living VMs with batch items that wait for a slot; those of another failure domain that only its
-    /// delegate tells of as one.
+    /// Living VMs with batch items that wait for a slot. A remote failure domain counts as one VM
+    /// if only its delegate reports it.
     pub fn competing_vms(&self, now: Duration, home: DomainId, own: VmId) -> Vec<CompetingVm> {
         let rows = self.rows.iter();
         let heard = rows.filter(|(_, peer)| peer.lives(now) && peer.waiting > 0 && !peer.draining);
@@ -38,7 +38,7 @@
         rivals
     }
 
-    /// VMs of a failure domain with items that wait, by its delegate's word.
+    /// VMs of a failure domain with waiting items, as its delegate reports.
     fn told_rivals(&self, now: Duration, domain: DomainId) -> Vec<CompetingVm> {
         let told = self.domains.status(now, domain);
         let rivals = told.map_or(&[][..], |told| &told.rivals).iter();
@@ -50,7 +50,8 @@
         rivals.map(rival).collect()
     }
 
-    /// Whether the process with this owner id says itself what waits for it, or its delegate does.
+    /// Whether waiting work of the process with this owner id is reported, by itself or by its
+    /// delegate.
     pub fn reports_waiting(&self, now: Duration, owner: OwnerId) -> bool {
         let mut rows = self.rows.values();
         let peer = rows.find(|peer| peer.owner == owner);
@@ -60,7 +61,7 @@
         })
     }
 
-    /// Tokens that wait on a route at the other VMs, as those that live last said.
+    /// Tokens that wait on a route at the other living VMs, as last reported.
     pub fn backlog(&self, now: Duration, route: RouteKey, home: DomainId, own: VmId) -> u64 {
         let living = self.rows.values().filter(|peer| peer.lives(now));
         let heard = living.flat_map(|peer| &peer.backlog);
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -1,4 +1,4 @@
-//! What the other VMs have at each endpoint, as they last said.
+//! Use of each endpoint by the other VMs, as last reported.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,13 +7,14 @@
 
 use crate::id::{weight, EndpointId, VmId};
 
-/// What a VM said counts no longer than this: a VM that is gone must not keep slots from the others,
-/// and one that lives says it again three times within this time.
+/// Time after which a report is dropped: a VM that is gone must not keep slots from the others, and
+/// a living one reports three times within this time.
 pub const USE_LIFE: Duration = Duration::from_millis(1600);
 
-/// Parts of one word: 80 endpoints each, some hundreds of a failure domain.
+/// Largest number of parts of a group report: 80 endpoints each, and a failure domain has some
+/// hundreds.
 const PARTS_MAX: u8 = 16;
-/// A delegate's word on what to keep counts for so long: until its next round, of which one may be lost.
+/// Time after which item allowances from a delegate lapse; long enough for one lost round.
 const KEEP_LIFE: Duration = Duration::from_millis(500);
 
 /// One VM's requests at one endpoint.
@@ -21,26 +22,27 @@
 pub struct EndpointUse {
     pub online: u16,
     pub batch: u16,
-    /// Those of `batch` that would miss their due time if they had to make way now.
+    /// Those of `batch` that would miss their due time if they were preempted now.
     pub urgent: u16,
 }
 
 #[derive(Debug, Clone)]
 struct Said {
     at: Duration,
-    /// Invariant: each of these is counted in the sum of its endpoint.
+    /// Invariant: each of these is included in the sum of its endpoint.
     uses: Vec<(EndpointId, RemoteUse)>,
 }
 
-/// The others' use of endpoints.
+/// Use of endpoints by the other VMs.
 #[derive(Debug, Default)]
 pub struct Usage {
     /// By VM, or by part of a failure domain's summary.
     rows: HashMap<u64, Said>,
-    /// Kept up with `rows`: routing and placing ask for every endpoint, and adding up what 50 VMs
-    /// say of 60 endpoints at each of 500 heartbeats a second took more than all requests did.
+    /// Kept up to date with `rows`: routing and placement read the sum of every endpoint, and
+    /// adding up the counts of 50 VMs at 60 endpoints with each of 500 heartbeats a second took
+    /// more time than all requests did.
     sums: HashMap<EndpointId, RemoteUse>,
-    /// Items that this VM may keep at endpoints that have too much, by its delegate's word.
+    /// Items that this VM may keep at endpoints over their limit, from its delegate.
     keeps: HashMap<EndpointId, u32>,
     kept_at: Duration,
 }
@@ -56,7 +58,7 @@
 }
 
 impl RemoteUse {
-    /// One VM's use.
+    /// The use by one VM.
     pub fn of(one: &EndpointUse) -> RemoteUse {
         RemoteUse {
             online: u32::from(one.online),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Counts another use in.
+    /// Adds another use.
     pub fn add(&mut self, one: &RemoteUse) {
         self.online += one.online;
         self.batch += one.batch;
@@ -74,7 +76,7 @@
         self.online_users += one.online_users;
     }
 
-    /// Takes out what was counted in.
+    /// Subtracts a use that was added before.
     pub fn take(&mut self, one: &RemoteUse) {
         self.online -= one.online;
         self.batch -= one.batch;
@@ -84,8 +86,8 @@
 }
 
 impl Usage {
-    /// Takes all that a VM has in flight, and returns the endpoints of this word and of its last one. An
-    /// endpoint is named once.
+    /// Replaces a VM's in-flight requests, and returns the endpoints of this report and of its
+    /// previous one. An endpoint occurs once in `uses`.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -96,7 +98,7 @@
         self.apply_group_report(now, vm, uses.map(|(id, one)| (id, RemoteUse::of(&one))))
     }
 
-    /// The same for several VMs at once, under whatever id they are told of together.
+    /// Like [`Usage::apply_report`] for several VMs at once, under the id of the group.
     pub fn apply_group_report(
         &mut self,
         now: Duration,
@@ -115,8 +117,9 @@
         touched
     }
 
-    /// The same for one part of what is told of VMs together, under the id `source`; `parts` tells how many there
-    /// are now, so that what an earlier, longer word said in further parts counts no longer.
+    /// Like [`Usage::apply_group_report`] for one part of a group's report, under the id `source`;
+    /// `parts` is their current number, so that further parts of an earlier, longer report are
+    /// dropped.
     pub fn apply_group_part(
         &mut self,
         now: Duration,
@@ -133,7 +136,7 @@
         touched
     }
 
-    /// Forgets what is too old.
+    /// Drops expired reports.
     pub fn tick(&mut self, now: Duration) {
         let old = |said: &Said| now >= said.at + USE_LIFE;
         let gone = self.rows.iter().filter(|(_, said)| old(said));
@@ -162,7 +165,7 @@
         self.sums.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// VMs with batch work at an endpoint; those that are told of together count as one.
+    /// VMs with batch work at an endpoint; a group that is reported as one counts as one.
     pub fn batch_users(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
         let of = |(vm, said): (&VmId, &Said)| {
             let at = |(at, _): &&(EndpointId, RemoteUse)| *at == endpoint;
@@ -172,13 +175,13 @@
         self.rows.iter().filter_map(of).collect()
     }
 
-    /// What one VM last said.
+    /// The use that one VM last reported.
     pub fn uses_of_vm(&self, vm: VmId) -> Vec<(EndpointId, RemoteUse)> {
         let said = self.rows.get(&vm);
         said.map_or_else(Vec::new, |said| said.uses.clone())
     }
 
-    /// Takes a delegate's word on how many items this VM may keep at endpoints that have too much.
+    /// Sets how many items this VM may keep at endpoints over their limit, from its delegate.
     pub fn set_item_allowance(
         &mut self,
         now: Duration,
@@ -188,17 +191,17 @@
         self.kept_at = now;
     }
 
-    /// How many items this VM may keep at an endpoint; `None` where nobody has said so of late.
+    /// How many items this VM may keep at an endpoint; `None` without a current allowance.
     pub fn item_allowance(&self, now: Duration, endpoint: EndpointId) -> Option<u32> {
         let fresh = now < self.kept_at + KEEP_LIFE;
         self.keeps.get(&endpoint).copied().filter(|_| fresh)
     }
 }
 
-/// How many of its `own` items a VM takes back when `excess` of all VMs' items have to go.
+/// How many of its `own` items a VM has to give up when all VMs together give up `excess`.
 ///
-/// Every VM works it out from the same counts: the one with the most gives one up at a time, the
-/// higher id first among equals. So together they give up `excess`, and not each of them as many.
+/// Every VM computes it from the same counts: the VM with the most items gives up one at a time,
+/// the higher id first among equals. Together they give up `excess`, instead of that number each.
 pub fn own_excess(excess: u32, own: (VmId, u32), others: &[(VmId, u32)]) -> u32 {
     let mut counts: Vec<(u32, VmId)> = others.iter().map(|(vm, count)| (*count, *vm)).collect();
     counts.push((own.1, own.0));
--- a/tests/endpoint_uses.rs
+++ b/tests/endpoint_uses.rs
@@ -1,4 +1,4 @@
-//! What the other VMs have at endpoints, summed up.
+//! Sums of the other VMs' use of endpoints.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 
 const ENDPOINTS: u64 = 4;
 
-/// What one VM said, and when.
+/// One VM's report and its time.
 struct Word {
     at: Duration,
     vm: u64,
     uses: Vec<(u64, EndpointUse)>,
 }
 
-/// Pause before it, VM, and online and batch counts by endpoint.
+/// Pause before the report, VM, and online and batch counts by endpoint.
 type Drawn = (u8, u8, Vec<(u16, u16)>);
 
-/// The last word of each VM, added up anew.
+/// Reference: the sum of each VM's last report.
 fn added_up(said: &[Word], now: Duration, endpoint: u64) -> RemoteUse {
     let mut sum = RemoteUse::default();
     for vm in 0..4 {
@@ -34,8 +34,8 @@
     sum
 }
 
-// Slots are given away twice, or kept for nobody: the running sums drift from what the VMs last said
-// as words are replaced, lapse and come again.
+// Guards against running sums that drift from the VMs' last reports as reports are replaced, lapse
+// and come again: slots would be granted twice, or reserved for no VM.
 quickcheck! {
     fn sums_hold(words: Vec<Drawn>) -> bool {
         let mut usage = Usage::default();
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! Who hears what in fleets of 6 to 330 VMs, at which cost, and what is known too late.
+//! Simulated fleets of 6 to 330 VMs: the cost of their messages, and how long it takes until all
+//! VMs have the state that they need.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 use bramleyseam::wire::DATAGRAM_BYTES;
 use quickcheck::quickcheck;
 
-/// Time between two steps of the play; a datagram takes one.
+/// Time of one simulation step; a datagram takes one step.
 const STEP: Duration = Duration::from_millis(20);
 /// Time between two heartbeats of a VM whose counts change all the time.
 const BEAT: Duration = Duration::from_millis(100);
@@ -27,7 +28,7 @@
 /// Endpoints that one VM uses at a time.
 const USED: u64 = 5;
 const RULES: u64 = 7;
-/// Longest time from hearing of newer rules to having them.
+/// Longest time from receiving a newer rules version to having the rules.
 const FETCH: Duration = Duration::from_millis(300);
 
 enum Datagram {
@@ -40,13 +41,13 @@
     peers: Peers,
     usage: Usage,
     rules: u64,
-    /// Since when it knows that another VM has newer rules.
+    /// Since when another VM has reported newer rules.
     behind_since: Option<Duration>,
     sequence: u64,
     rounds: u64,
     dead: bool,
     store: bool,
-    /// Its calls on the store get no answer, though it does not know it.
+    /// Its store calls get no answer, though its local state doesn't show that yet.
     unanswered: bool,
     proofs: Freshness,
     proof_calls: u64,
@@ -59,7 +60,7 @@
     vms: Vec<Vm>,
     at: HashMap<SocketAddr, usize>,
     domains: u64,
-    /// Version of the rules at the store. No watch tells of it.
+    /// Version of the rules at the store. No watch reports it.
     newest_rules: u64,
     now: Duration,
     under_way: Vec<(SocketAddr, usize, Datagram)>,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Endpoint that everybody can tell to be used by this VM.
+    /// An endpoint that this VM is known to use.
     fn endpoint(&self) -> u64 {
         self.record.domain * 1_000_000 + self.record.owner % ENDPOINTS
     }
@@ -123,7 +124,7 @@
             owner: 1000 + at as u64,
             gossip_address: SocketAddr::from(([10, 0, (at / 250) as u8, (at % 250) as u8], 1)),
             peer_port: 2,
-            // Three in each failure domain are larger than the rest.
+            // Three VMs in each failure domain are larger than the rest.
             core_share: if at < 3 * domains as usize { 0.5 } else { 0.12 },
         };
         let records: Vec<VmRecord> = (0..vms).map(record).collect();
@@ -161,7 +162,7 @@
         fleet
     }
 
-    /// All VMs learn who is registered.
+    /// Gives all VMs the full list of registrations.
     fn register(&mut self) {
         let records: Vec<VmRecord> = self.vms.iter().map(|vm| vm.record.clone()).collect();
         self.know(&records);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Plays for so long, or until something holds; returns how long.
+    /// Runs the simulation for `time`, or until `holds` returns true; returns the time that took.
     fn run(&mut self, time: Duration, mut holds: impl FnMut(&Fleet) -> bool) -> Option<Duration> {
         let start = self.now;
         while self.now < start + time {
@@ -209,7 +210,7 @@
             vm.usage.tick(now);
             vm.fetch_rules(now);
             vm.prove(now, own, self.newest_rules);
-            // Not all at the same step.
+            // Spreads the VMs over different steps.
             let phase = STEP * (at as u32 % 5);
             let large = !self.vms[at]
                 .peers
@@ -291,7 +292,7 @@
         }
     }
 
-    /// Asks the store for rules and endpoints where it is this VM's turn.
+    /// Asks the store for rules and endpoints when this VM's rank makes it due.
     fn prove(&mut self, now: Duration, own: LocalVm, newest_rules: u64) {
         let place = self.peers.refresh_rank(now, own);
         for subject in [StoreSubject::Rules, StoreSubject::Endpoints] {
@@ -303,7 +304,7 @@
             }
             self.proof_calls += 1;
             if self.unanswered {
-                // The call fails, and with it the VM knows that the store doesn't answer it.
+                // The failed call shows the VM that the store doesn't answer it.
                 self.store = false;
                 continue;
             }
@@ -312,7 +313,7 @@
         }
     }
 
-    /// Takes newer rules from whoever has them, the time of a fetch after it has heard of them.
+    /// Fetches newer rules, [`FETCH`] after another VM has reported them.
     fn fetch_rules(&mut self, now: Duration) {
         if self
             .peers
@@ -326,7 +327,7 @@
         }
     }
 
-    /// Takes a datagram in, and returns what is passed on, to whom.
+    /// Applies a datagram, and returns the summaries to forward and their targets.
     fn take(
         &mut self,
         now: Duration,
@@ -379,7 +380,7 @@
     }
 }
 
-/// A VM that lacks no endpoint.
+/// Versions of a VM that lacks no endpoint.
 fn knowing(rules: u64) -> KnownVersions {
     KnownVersions {
         rules,
@@ -391,7 +392,8 @@
     (now + phase).as_millis().is_multiple_of(every.as_millis())
 }
 
-/// Bytes and datagrams that a VM takes in, and datagrams that the busiest one sends, a second.
+/// Bytes and datagrams that a VM receives on average, and datagrams that the busiest one sends, per
+/// second.
 fn cost(vms: usize, domains: u64) -> (f64, f64, f64) {
     let mut fleet = Fleet::new(vms, domains);
     for vm in &mut fleet.vms {
@@ -419,14 +421,14 @@
     (330, 11),
 ];
 
-// Callers of 250 small VMs get no answer: heartbeats of all to all take the whole of an eighth of a core each.
-// What one VM takes in must not grow with the number of VMs.
+// Guards against heartbeats from all VMs to all, which with 250 small VMs use an eighth of a core
+// each, so that callers get no answers. What one VM receives must not grow with the number of VMs.
 #[test]
 fn cost_bounded() {
     for (vms, domains) in SIZES {
         let (bytes, datagrams, most) = cost(vms, domains);
         println!("{vms} VMs, {domains} domains: {bytes:.0} B/s, {datagrams:.0} datagrams/s, busiest sends {most:.0}/s");
-        // In a mesh of 64 it is 250 datagrams a second.
+        // A full mesh of 64 VMs has 250 datagrams a second.
         assert!(datagrams <= 250.0, "{vms}: {datagrams} datagrams a second");
         assert!(bytes <= 16_000.0, "{vms}: {bytes} bytes a second");
         assert!(
@@ -436,9 +438,9 @@
     }
 }
 
-// An operator changes the rules, and one VM hears of it from the store, a delegate where there are some. All VMs serve
-// by them within 1.8 s; the bound is two seconds on the tightest deployments, where every VM watches the store itself
-// besides.
+// An operator changes the rules, and one VM gets them from the store, a delegate if there is one.
+// All VMs have them within 1.8 s; the bound is two seconds on the tightest deployments, where every
+// VM watches the store itself as well.
 #[test]
 fn rules_known() {
     for (vms, domains) in SIZES {
@@ -453,8 +455,8 @@
     }
 }
 
-// Requests stand behind others at an endpoint that a VM takes for free. What the VMs of a failure domain have at
-// an endpoint is known to each of them within 0.3 s, to the others within 1.2 s.
+// Guards against requests that queue at an endpoint which a VM takes for free. A VM's use of an
+// endpoint reaches the VMs of its failure domain within 0.3 s, the others within 1.2 s.
 #[test]
 fn uses_known() {
     for (vms, domains) in SIZES {
@@ -479,7 +481,7 @@
         };
         assert!(known(&fleet, true), "{vms}: near");
         assert!(known(&fleet, false), "{vms}: far");
-        // A VM that dies is counted for a life of its words and not longer.
+        // The use by a VM that dies is counted until its reports expire, and no longer.
         fleet.vms[user].dead = true;
         fleet.run(Duration::from_millis(3200), |_| false);
         for vm in fleet.vms.iter().filter(|vm| !vm.dead) {
@@ -488,8 +490,9 @@
     }
 }
 
-// Callers are refused for seconds after both delegates of a failure domain die at once, since their VMs hear nothing
-// any more, and their registrations last for 3 s yet. Two others take over well before that.
+// Guards against callers that are refused for seconds after both delegates of a failure domain die
+// at once: its VMs receive nothing until the registrations of the two lapse after 3 s. Two others
+// take over well before that.
 #[test]
 fn delegates_die() {
     for (vms, domains) in [(100, 5), (250, 5), (330, 11)] {
@@ -526,8 +529,8 @@
     }
 }
 
-// The store is away, and with it the answers to all delegates. If their 250 VMs went to the store instead, each
-// would pay for calls that bring nothing; they stay with their delegates, which speak on.
+// The store is unavailable and answers no delegate. Their 250 VMs stay with these living delegates:
+// calls of their own to the store would be billed and return nothing.
 #[test]
 fn store_away() {
     let mut fleet = Fleet::new(250, 5);
@@ -541,8 +544,8 @@
     assert_eq!(fleet.vms.iter().filter(at_the_store).count(), 10);
 }
 
-// An outage of the store ends, and all registrations have lapsed in it. The delegates speak on, their words still fit
-// into datagrams, and all VMs know that the others live.
+// An outage of the store ends in which all registrations have lapsed. The delegates go on sending,
+// their summaries still fit into datagrams, and all VMs know that the others are alive.
 #[test]
 fn registrations_lapse() {
     let mut fleet = Fleet::new(250, 5);
@@ -566,7 +569,7 @@
     assert!(least >= 235, "{least}");
 }
 
-// What a longer word said in its second part counts no longer once a shorter one came.
+// The second part of a longer report is dropped when a shorter report follows.
 #[test]
 fn shorter_words() {
     let one = RemoteUse {
@@ -583,8 +586,8 @@
     assert!(touched.contains(&1) && touched.contains(&2));
 }
 
-// Whoever lacks rules asks near at hand: 250 VMs that fetch from other failure domains move a thousand times the
-// bytes of their heartbeats.
+// A VM that lacks rules fetches them in its own failure domain: 250 VMs that fetch from other
+// domains move a thousand times the bytes of their heartbeats.
 #[test]
 fn asks_near() {
     let mut fleet = Fleet::new(250, 5);
@@ -606,7 +609,7 @@
     }
 }
 
-// Large VMs speak for the others: a delegate's work would take a third of a small one.
+// Large VMs become delegates: a delegate's work would take a third of a small one.
 #[test]
 fn large_ones_speak() {
     let fleet = Fleet::new(250, 5);
@@ -619,8 +622,8 @@
     }
 }
 
-// Items make way in a burst. Each VM gives up its part, and together they give up what is too much: a VM that
-// knew sums only gave up all or nothing.
+// Batch items are preempted in a burst. Each VM gives up its part, and together they give up the
+// excess: with only the sums, a VM would give up all or nothing.
 #[test]
 fn keeps_add_up() {
     fn holds(batch: Vec<u8>, online: u8) -> bool {
@@ -656,11 +659,12 @@
     quickcheck(holds as fn(Vec<u8>, u8) -> bool);
 }
 
-/// Sizes of fleets as they are run, and their failure domains.
+/// Sizes of deployed fleets, and their failure domains.
 const RUN: [(usize, u64); 3] = [(6, 3), (51, 4), (295, 5)];
 
-// Each VM asking the store on its own would be paid for by the VM, and exceed what it serves. Proofs that rules and
-// endpoints are the newest cost the same with 6 VMs as with 51, and less with 295, which have longer.
+// Guards against each VM asking the store on its own, which is billed for each VM and exceeds the
+// store's rate limit. Confirmations of rules and endpoints take as many calls with 51 VMs as with
+// 6, and fewer with 295, where the time limit is longer.
 #[test]
 fn proofs_shared() {
     for (vms, domains) in RUN {
@@ -671,19 +675,21 @@
         let calls: u64 = fleet.vms.iter().map(|vm| vm.proof_calls).sum();
         let a_second = calls as f64 / time.as_secs_f64();
         println!("{vms} VMs, {domains} domains: {a_second:.1} calls a second");
-        // Two subjects, each 0.6 s by one VM, or each second by one of hundreds.
+        // Two subjects, each asked for every 0.6 s by one VM, or every second in a fleet of
+        // hundreds.
         let most = if vms <= 64 { 3.4 } else { 2.0 };
         assert!(a_second <= most * 1.1, "{vms}: {a_second}");
     }
 }
 
-/// Time within which rules are in force: of the tightest deployments, and of those with hundreds of VMs.
+/// Time within which rules are in force: of the tightest deployments, and of those with hundreds of
+/// VMs.
 fn bound(vms: usize) -> Duration {
     Duration::from_secs(if vms <= 64 { 2 } else { 4 })
 }
 
-// Rules change and every watch is silent. Whoever asks the store for the others finds them, and all serve by them in
-// time: also when the first one dies, or two get no answer, as they change.
+// Rules change and every watch is silent. The VM that asks the store for the others finds them, and
+// all VMs have them in time, also if the first such VM has died or gets no answer.
 #[test]
 fn unheard_rules() {
     for (vms, domains) in RUN {
@@ -707,7 +713,7 @@
     }
 }
 
-/// VMs that prove for the others, those in the first places first.
+/// VMs that refresh from the store for the others, by rank.
 fn provers(fleet: &Fleet) -> Vec<usize> {
     let place = |vm: &Vm| vm.peers.refresh_rank(fleet.now, vm.own());
     let mut places: Vec<(usize, usize)> = fleet
@@ -720,8 +726,9 @@
     places.into_iter().map(|(_, at)| at).collect()
 }
 
-// No VM's belief grows old while the store answers, and none seems younger than it is: a proof is told by those who
-// had it from the store, so that it does not go round among VMs that nobody tells anything.
+// While the store answers, no VM's confirmation gets old, and none seems younger than it is: only
+// VMs that have it from the store report it, so that it doesn't circulate among VMs without a
+// source.
 #[test]
 fn proofs_age() {
     for (vms, domains) in RUN {
@@ -735,7 +742,7 @@
         };
         let old = |fleet: &Fleet| oldest(fleet) >= Duration::from_millis(1800);
         assert!(fleet.run(Duration::from_secs(5), old).is_none(), "{vms}");
-        // The store answers nobody any more.
+        // From here on the store answers no VM.
         fleet.vms.iter_mut().for_each(|vm| vm.unanswered = true);
         let silent_at = fleet.now;
         fleet.run(Duration::from_secs(5), |_| false);
@@ -747,8 +754,9 @@
     }
 }
 
-// The store answers nobody for long. Each VM asking for proofs again and again is paid for and brings nothing: one that
-// gets no answer leaves it to the others, so that each asks once at the most, and few do where delegates speak.
+// The store answers no VM for long. A VM without an answer leaves further calls, which are billed
+// and return nothing, to the others: each asks at most once per subject, and few do where delegates
+// represent the rest.
 #[test]
 fn outage_unproved() {
     for (vms, domains) in RUN {
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -1,4 +1,4 @@
-//! Many VMs choose among the same endpoints, and hear late what the others chose.
+//! Many VMs choose among the same endpoints with outdated reports of each other's choices.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 const VMS: usize = 54;
 const ENDPOINTS: usize = 32;
 const SLOTS: usize = 7;
-/// A request holds its slot for so long.
+/// Time for which a request holds its slot.
 const HOLD_MS: u64 = 720;
-/// A burst that asks for 95 in 100 of the slots.
+/// A burst that uses 95% of the slots.
 const REQUESTS_PER_S: f64 = 295.0;
 const BURST_MS: u64 = 2400;
-/// Each VM hears so often what the others have.
+/// Interval at which each VM receives the counts of the others.
 const NEWS_MS: u64 = 100;
-/// What a VM has is heard by its delegate so late.
+/// Time until a VM's counts reach its delegate.
 const BEAT_MS: u64 = 50;
-/// A first token later than this is of no use to whoever waits.
+/// Latest first token that is still in time for the caller.
 const GOAL_MS: u64 = 300;
 
 /// A request at an engine.
@@ -40,7 +40,7 @@
 }
 
 impl Engine {
-    /// Takes a request; returns how long it waits for its slot.
+    /// Admits a request; returns how long it waits for its slot.
     fn take(&mut self, now: u64, vm: usize) -> u64 {
         let here = self.requests.iter().filter(|request| request.ends > now);
         let mut busy: Vec<u64> = here.map(|request| request.ends).collect();
@@ -55,7 +55,7 @@
         starts - now
     }
 
-    /// Requests that were there at `heard`, less those that have ended by then.
+    /// Requests that were there at `heard` and have not ended by then.
     fn online(&self, heard: u64, fits: impl Fn(usize) -> bool) -> u32 {
         let there =
             |request: &&Request| request.sent <= heard && request.ends > heard && fits(request.vm);
@@ -79,7 +79,7 @@
         for (vm, table) in tables.iter_mut().enumerate() {
             for (engine, row) in engines.iter().zip(&mut table.rows) {
                 row.online_here = engine.online(now, |of| of == vm);
-                // A round of a delegate, of what it heard by then.
+                // A summary round of a delegate, with the counts that it received by then.
                 if now.is_multiple_of(NEWS_MS) {
                     let heard = now.saturating_sub(BEAT_MS);
                     row.online_elsewhere = engine.online(heard, |of| of != vm);
@@ -114,8 +114,9 @@
     started as f64 / asked as f64
 }
 
-// Applicants wait for half a second although the engines could serve them at once. Few engines have a slot free by the
-// last news, and the requests of all VMs go to these. Choosing by load among all near engines spreads them.
+// Guards against requests that wait half a second although other engines have free slots: few
+// engines have a free slot by the last report, and all VMs send their requests to these. Choosing
+// by load among all local engines spreads the requests.
 #[test]
 fn news_is_late() {
     let mean = |late_news| (1..=5).map(|seed| in_time(late_news, seed)).sum::<f64>() / 5.0;
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -20,7 +20,7 @@
     endpoints: Endpoints,
     up: bool,
     paused_until: Duration,
-    /// Every version that was ever in force, in order.
+    /// Every version that was in force, in order.
     versions: Vec<u64>,
 }
 
@@ -30,10 +30,10 @@
     loss: f64,
     vms: Vec<Vm>,
     wires: Vec<(Duration, usize, Heartbeat)>,
-    /// Pairs that can't reach each other, in this direction.
+    /// Pairs of VMs; datagrams from the first to the second are lost.
     cuts: Vec<(usize, usize)>,
     removals: u32,
-    /// What the endpoint says.
+    /// Report of every endpoint.
     report: EndpointReport,
     bytes: u64,
 }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Whether `at` counts `other` among the living.
+    /// Whether `at` counts `other` as alive.
     fn sees(&self, at: usize, other: usize) -> bool {
         let members = &self.vms[at].fleet.members.rows;
         let row = members.get(&self.vms[other].fleet.card.vm);
@@ -197,8 +197,8 @@
     }
 }
 
-// One datagram in twenty is lost, for an hour. No living VM is taken out of use: that would need
-// six losses in a row on one way.
+// One datagram in twenty is lost for an hour. No living VM is taken out of use: that needs six
+// losses in a row on one link.
 #[test]
 fn no_false_removal() {
     let mut world = World::new(1, 12, 1, 0, 0.05);
@@ -207,8 +207,8 @@
     assert_eq!(world.removals, 0);
 }
 
-// A VM dies. Within three seconds no other one counts on it, although the platform's list, which
-// lags, still has it.
+// A VM dies. Within three seconds no other VM counts it as alive, although the platform's list,
+// which lags, still has it.
 #[test]
 fn dead_removed() {
     let mut world = World::new(2, 12, 1, 0, 0.05);
@@ -218,9 +218,9 @@
     assert!((0..12).all(|at| at == 3 || !world.sees(at, 3)));
 }
 
-// An endpoint says that it is leaving. One poller hears it; within two seconds every VM of the
-// failure domain, and by the delegates of the others, sends nothing there. A late report of the
-// same incarnation without the mark does not bring it back, a new incarnation does.
+// An endpoint reports that it is leaving to one poller. Within two seconds no VM of its failure
+// domain sends requests to it, and the other domains follow through the delegates. A late report of
+// the same incarnation that lacks the flag doesn't bring it back, a new incarnation does.
 #[test]
 fn leaving_spreads() {
     for seed in 0..20 {
@@ -265,7 +265,8 @@
 }
 
 // A VM is replaced by a new one with the same id while the old one is only paused. The new one's
-// heartbeats count; the old one's, when it wakes, don't, and it is told to stop.
+// heartbeats are applied; when the old one resumes, its heartbeats are dropped and it is told to
+// stop.
 #[test]
 fn reused_id() {
     let own = card(0, 1, 1);
@@ -298,9 +299,9 @@
 }
 
 quickcheck! {
-    // VMs are cut off from each other one way, pause and wake, restart with nothing, while operators
-    // apply versions at one VM or another. No VM ever goes back within an incarnation, and once the
-    // cuts are healed all have the newest version within seconds.
+    // VMs are cut off from each other in one direction, pause and resume, while operators apply
+    // versions at one VM or another. No VM goes back to an older version within an incarnation, and
+    // once the cuts are healed all have the newest version within seconds.
     fn versions_only_rise(seed: u64) -> bool {
         let mut world = World::new(seed, 6, 2, 0, 0.1);
         let mut newest = 0;
@@ -330,7 +331,7 @@
         world.vms.iter().all(|vm| rising(&vm.versions) && vm.fleet.card.config == newest)
     }
 
-    // After any cuts and pauses, all VMs of a failure domain agree on an endpoint's home again.
+    // After any cuts, all VMs of a failure domain agree on an endpoint's assigned VM again.
     fn homes_agree(seed: u64) -> bool {
         let mut world = World::new(seed, 5, 1, 3, 0.05);
         for _ in 0..20 {
--- a/tests/proof_ages.rs
+++ b/tests/proof_ages.rs
@@ -1,4 +1,4 @@
-//! How old the store's word is, by own calls and by what other VMs tell.
+//! Confirmation ages, from local store calls and from peers' reports.
 
 use std::time::Duration;
 
@@ -20,10 +20,11 @@
     }
 }
 
-// Callers' jobs wait while the store is asked for all of them by each of 250 VMs. The store was away for long, its calls
-// are answered again, and the VM that watches for the others has not read all anew yet; it must not send them to the
-// store. One that has been answered for long and heard nothing does. Proved by the logs of a day with an outage: 29 of 57 VMs
-// of one failure domain were sent away in the second after it, and read all records.
+// Guards against 250 VMs that each read all jobs from the store while callers' jobs wait. After a
+// long outage the store answers again, but the watching VM has not read everything anew yet: it
+// must not send the others to the store. A watching VM that has been answered for long without a
+// confirmation does. In the logs of a day with an outage, 29 of 57 VMs of one failure domain were
+// sent away in the second after it, and read all records.
 #[test]
 fn behind_after_outage() {
     let mut proofs = Freshness::default();
@@ -36,8 +37,8 @@
     assert!(proofs.is_live_stale(secs(18), None));
 }
 
-// A VM that is behind takes the word of one that knows more as proof of what it knows itself, and refuses a route that
-// was added.
+// Guards against a VM that takes a newer peer's confirmation for one of its own older rules, and
+// refuses a route that was added.
 #[test]
 fn proof_of_more() {
     let mut proofs = Freshness::default();
@@ -52,7 +53,7 @@
     assert!(!proofs.are_rules_fresh(secs(12)));
 }
 
-// What others told is not told on: the word would seem younger with each way it takes.
+// A confirmation from a peer is not forwarded: it would seem younger with each hop.
 #[test]
 fn not_told_on() {
     let mut proofs = Freshness::default();
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -1,4 +1,4 @@
-//! What is known of the other VMs from their heartbeats and registrations.
+//! State of the other VMs, from their heartbeats and registrations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -37,8 +37,8 @@
     Duration::from_millis(count)
 }
 
-// All processes are killed at once and start again. Their jobs would wait for 1.5 s, as if the processes
-// before might still live, although those that took their place are heard.
+// All processes are killed at once and start again. Their jobs must not wait 1.5 s for the previous
+// processes, whose successors already send heartbeats.
 #[test]
 fn restarted_vm() {
     let mut peers = Peers::default();
@@ -58,7 +58,7 @@
     assert!(peers.is_replaced(7));
 }
 
-// A VM comes back and finds its own registration of before: that process was its own, and is gone.
+// A restarted VM finds the registration of its own previous process, which is gone for certain.
 #[test]
 fn own_past() {
     let mut peers = Peers::default();
@@ -74,7 +74,8 @@
     assert!(peers.is_replaced(7));
 }
 
-// A datagram of the process before arrives late. The one that runs counts as alive again with its next word.
+// A datagram of the previous process arrives late. The running one counts as alive again with its
+// next heartbeat.
 #[test]
 fn late_datagram() {
     let mut peers = Peers::default();
@@ -87,8 +88,9 @@
     assert!(peers.is_replaced(7));
 }
 
-// A VM that is cut off takes the store for away, and keeps engines that have left. What tells it otherwise is a VM
-// that has said of itself, without a break, that the store serves it.
+// Guards against a VM that is cut off, takes the store for unavailable, and keeps using engines
+// that have left. A peer whose heartbeats have reported an available store without a break shows
+// that it is available.
 #[test]
 fn served_meanwhile() {
     let mut peers = Peers::default();
@@ -105,12 +107,13 @@
     assert!(!said(1500, 3, false));
     assert!(!said(2000, 4, true));
     assert!(said(3000, 5, true));
-    // It was not heard for too long to know what it would have said.
+    // A gap in the heartbeats ends the unbroken time.
     assert!(!said(9000, 6, true));
 }
 
-// A VM serves by old rules although others know the new ones: the one that it hears of them from is frozen, or the way to
-// it is cut one way, and it asks that one again and again. One that did not answer is passed over for another.
+// Guards against a VM that keeps old rules because it asks the same peer for newer ones again and
+// again, while that peer is frozen or the link to it is cut in one direction. A peer that did not
+// answer is skipped.
 #[test]
 fn asks_another() {
     let mut peers = Peers::default();
