--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -17,9 +17,9 @@
 };
 
 /// VMs of a domain that watch the platform and exchange heartbeats with other domains.
-pub const DELEGATES: usize = 2;
+pub const DELEGATES_PER_DOMAIN: usize = 2;
 /// VMs that poll one endpoint.
-pub const POLLERS: usize = 2;
+pub const POLLERS_PER_ENDPOINT: usize = 2;
 /// Time between two polls of an endpoint by one VM.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two heartbeats to another domain.
@@ -28,11 +28,11 @@
 pub const ROWS_MAX: usize = 24;
 /// Unchanged rows that are sent again with each heartbeat, in rotation, so that a lost row is
 /// repeated.
-pub const REFRESH_ROWS: usize = 3;
+pub const REFRESH_ROWS_MAX: usize = 3;
 /// Shortest time between two fetches of the same data, so that the first one can complete.
-pub const FETCH_PAUSE: Duration = Duration::from_millis(300);
+pub const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 /// Time after which another VM's reported use of an endpoint is dropped.
-pub const LOAD_LIFE: Duration = Duration::from_secs(5);
+pub const USE_EXPIRES_AFTER: Duration = Duration::from_secs(5);
 
 const KEY_DELEGATE: u64 = 0x64656c;
 
@@ -58,7 +58,7 @@
 /// The message between VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    pub card: VmStatus,
+    pub status: VmStatus,
     pub sequence: u64,
     /// Endpoints whose use or report changed, and a few unchanged ones.
     pub rows: Vec<UseRow>,
@@ -91,30 +91,30 @@
     pub members: Members,
     sequence: u64,
     next_heartbeat: Duration,
-    next_far: Duration,
+    next_remote_heartbeat: Duration,
     polled_at: HashMap<EndpointId, Duration>,
     /// Highest version that was received, and its sender.
-    config_told: (SocketAddr, ConfigVersion),
-    jobs_told: (SocketAddr, Revision),
+    newest_config: (SocketAddr, ConfigVersion),
+    newest_jobs: (SocketAddr, Revision),
     fetched_config_at: Option<Duration>,
     fetched_jobs_at: Option<Duration>,
     /// Rows that changed since they were last sent.
     dirty: VecDeque<EndpointId>,
-    refresh_at: usize,
-    told: HashMap<EndpointId, UseRow>,
+    refresh_index: usize,
+    last_sent: HashMap<EndpointId, UseRow>,
     /// VMs of the local failure domain that accept work, as of the last tick.
-    working: Vec<VmId>,
+    working_vms: Vec<VmId>,
     /// Those of them whose batch process is up.
-    batching: Vec<VmId>,
+    batch_vms: Vec<VmId>,
     /// Assigned VM of each endpoint of the local failure domain. Invariant: derived from
     /// `batching`.
-    homes: BTreeMap<EndpointId, VmId>,
+    assigned_vms: BTreeMap<EndpointId, VmId>,
     /// Endpoints that this VM polls. Invariant: derived from `working`.
-    polls: Vec<EndpointId>,
+    polled_endpoints: Vec<EndpointId>,
     /// Number of endpoints and configuration version that `homes` and `polls` were derived from.
-    made_for: (usize, ConfigVersion),
+    placement_inputs: (usize, ConfigVersion),
     /// Use by other VMs: requests as last reported, and the time of the report.
-    uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
+    remote_uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
 }
 
 impl Fleet {
@@ -124,21 +124,21 @@
             members: Members::default(),
             sequence: 0,
             next_heartbeat: Duration::ZERO,
-            next_far: Duration::ZERO,
+            next_remote_heartbeat: Duration::ZERO,
             polled_at: HashMap::new(),
-            config_told: (card.peer_address, 0),
-            jobs_told: (card.peer_address, 0),
+            newest_config: (card.peer_address, 0),
+            newest_jobs: (card.peer_address, 0),
             fetched_config_at: None,
             fetched_jobs_at: None,
             dirty: VecDeque::new(),
-            refresh_at: 0,
-            told: HashMap::new(),
-            working: Vec::new(),
-            batching: Vec::new(),
-            homes: BTreeMap::new(),
-            polls: Vec::new(),
-            made_for: (0, 0),
-            uses: HashMap::new(),
+            refresh_index: 0,
+            last_sent: HashMap::new(),
+            working_vms: Vec::new(),
+            batch_vms: Vec::new(),
+            assigned_vms: BTreeMap::new(),
+            polled_endpoints: Vec::new(),
+            placement_inputs: (0, 0),
+            remote_uses: HashMap::new(),
             card,
         }
     }
@@ -151,30 +151,30 @@
         endpoints: &mut Endpoints,
         out: &mut Vec<Action>,
     ) {
-        let (vm, domain) = (heartbeat.card.vm, heartbeat.card.domain);
-        let (config, jobs) = (heartbeat.card.config, heartbeat.card.jobs);
-        let from = heartbeat.card.peer_address;
+        let (vm, domain) = (heartbeat.status.vm, heartbeat.status.domain);
+        let (config, jobs) = (heartbeat.status.config, heartbeat.status.jobs);
+        let from = heartbeat.status.peer_address;
         let heard =
             self.members
-                .apply_heartbeat(now, &self.card, heartbeat.card, heartbeat.sequence);
+                .apply_heartbeat(now, &self.card, heartbeat.status, heartbeat.sequence);
         match heard {
             HeartbeatOutcome::Stale => return,
             HeartbeatOutcome::Superseded => {
                 out.push(Action::Stop);
                 return;
             }
-            HeartbeatOutcome::Taken => {}
+            HeartbeatOutcome::Applied => {}
         }
         for row in heartbeat.rows {
-            self.take_row(now, vm, domain, row, endpoints);
+            self.apply_row(now, vm, domain, row, endpoints);
         }
-        if config >= self.config_told.1 {
-            self.config_told = (from, config);
+        if config >= self.newest_config.1 {
+            self.newest_config = (from, config);
         }
-        if jobs >= self.jobs_told.1 {
-            self.jobs_told = (from, jobs);
+        if jobs >= self.newest_jobs.1 {
+            self.newest_jobs = (from, jobs);
         }
-        self.fetch(now, out);
+        self.fetch_newer(now, out);
     }
 
     /// Fetches newer versions that were announced and are missing here, and retries until they
@@ -182,20 +182,20 @@
     ///
     /// It also runs on each tick: without this, a second change that is announced while the first
     /// one's fetch is in flight would wait for the next heartbeat from a remote domain.
-    fn fetch(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let (from, version) = self.config_told;
-        if version > self.card.config && due(self.fetched_config_at, now) {
+    fn fetch_newer(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let (from, version) = self.newest_config;
+        if version > self.card.config && is_fetch_due(self.fetched_config_at, now) {
             self.fetched_config_at = Some(now);
             out.push(Action::FetchConfig { from, version });
         }
-        let (from, revision) = self.jobs_told;
-        if revision > self.card.jobs && due(self.fetched_jobs_at, now) {
+        let (from, revision) = self.newest_jobs;
+        if revision > self.card.jobs && is_fetch_due(self.fetched_jobs_at, now) {
             self.fetched_jobs_at = Some(now);
             out.push(Action::FetchJobs { from });
         }
     }
 
-    fn take_row(
+    fn apply_row(
         &mut self,
         now: Duration,
         vm: VmId,
@@ -204,7 +204,7 @@
         endpoints: &mut Endpoints,
     ) {
         let id = row.endpoint;
-        self.uses.insert((vm, id), (row.online, now));
+        self.remote_uses.insert((vm, id), (row.online, now));
         let Some(endpoint) = endpoints.get_mut(id) else {
             return;
         };
@@ -267,36 +267,36 @@
     /// Sends heartbeats, polls endpoints and drops expired state when each is due.
     pub fn tick(&mut self, now: Duration, endpoints: &mut Endpoints, out: &mut Vec<Action>) {
         self.members.tick(now);
-        self.fetch(now, out);
-        self.place(now, endpoints);
-        self.sum_uses(now, endpoints);
+        self.fetch_newer(now, out);
+        self.update_placement(now, endpoints);
+        self.sum_remote_uses(now, endpoints);
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-            let far = now >= self.next_far && self.is_delegate(now);
+            let far = now >= self.next_remote_heartbeat && self.is_delegate(now);
             if far {
-                self.next_far = now + REMOTE_HEARTBEAT_INTERVAL;
+                self.next_remote_heartbeat = now + REMOTE_HEARTBEAT_INTERVAL;
             }
-            self.send(now, endpoints, far, out);
+            self.send_heartbeats(now, endpoints, far, out);
         }
-        self.poll(now, out);
+        self.poll_endpoints(now, out);
     }
 
     /// Sends the next heartbeats immediately to all VMs, for example before leaving.
     pub fn send_now(&mut self) {
         self.next_heartbeat = Duration::ZERO;
-        self.next_far = Duration::ZERO;
+        self.next_remote_heartbeat = Duration::ZERO;
     }
 
-    fn sum_uses(&mut self, now: Duration, endpoints: &mut Endpoints) {
+    fn sum_remote_uses(&mut self, now: Duration, endpoints: &mut Endpoints) {
         let members = &self.members;
-        self.uses.retain(|(vm, _), (_, at)| {
-            now < *at + LOAD_LIFE && members.rows.get(vm).is_some_and(|row| row.alive(now))
+        self.remote_uses.retain(|(vm, _), (_, at)| {
+            now < *at + USE_EXPIRES_AFTER && members.rows.get(vm).is_some_and(|row| row.alive(now))
         });
         for endpoint in &mut endpoints.rows {
             endpoint.online_elsewhere = 0;
             endpoint.remote_vms = 0;
         }
-        for ((_, id), (online, _)) in &self.uses {
+        for ((_, id), (online, _)) in &self.remote_uses {
             if let Some(endpoint) = endpoints.get_mut(*id) {
                 endpoint.online_elsewhere += online;
                 endpoint.remote_vms += u32::from(*online > 0);
@@ -304,17 +304,23 @@
         }
     }
 
-    fn send(&mut self, now: Duration, endpoints: &Endpoints, far: bool, out: &mut Vec<Action>) {
-        let rows = self.rows_to_tell(endpoints);
+    fn send_heartbeats(
+        &mut self,
+        now: Duration,
+        endpoints: &Endpoints,
+        far: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let rows = self.rows_to_send(endpoints);
         self.sequence += 1;
         let heartbeat = Heartbeat {
-            card: self.card.clone(),
+            status: self.card.clone(),
             sequence: self.sequence,
             rows,
         };
         for row in self.members.rows.values() {
             let near = row.card.domain == self.card.domain;
-            if near || (far && self.far_target(now, row.card.vm, row.card.domain)) {
+            if near || (far && self.is_remote_target(now, row.card.vm, row.card.domain)) {
                 let to = row.card.gossip_address;
                 out.push(Action::Send {
                     to,
@@ -326,7 +332,7 @@
 
     /// Whether a VM is one of the two targets in a remote domain: living VMs first, else any known
     /// one.
-    fn far_target(&self, now: Duration, vm: VmId, domain: DomainId) -> bool {
+    fn is_remote_target(&self, now: Duration, vm: VmId, domain: DomainId) -> bool {
         let of_domain = || {
             self.members
                 .rows
@@ -335,8 +341,8 @@
         };
         let alive = of_domain().filter(|r| r.alive(now)).map(|r| r.card.vm);
         let mut targets = ranked(KEY_DELEGATE, alive);
-        targets.truncate(DELEGATES);
-        if targets.len() < DELEGATES {
+        targets.truncate(DELEGATES_PER_DOMAIN);
+        if targets.len() < DELEGATES_PER_DOMAIN {
             // Which of the silent VMs is alive is not known: try them in rotation.
             let mut silent: Vec<VmId> = of_domain()
                 .filter(|r| !r.alive(now))
@@ -350,9 +356,9 @@
         targets.contains(&vm)
     }
 
-    fn rows_to_tell(&mut self, endpoints: &Endpoints) -> Vec<UseRow> {
+    fn rows_to_send(&mut self, endpoints: &Endpoints) -> Vec<UseRow> {
         for endpoint in &endpoints.rows {
-            let told = self.told.get(&endpoint.id);
+            let told = self.last_sent.get(&endpoint.id);
             let changed = told.map_or(endpoint.online_here > 0, |row| {
                 row.online != endpoint.online_here
                     || row.report.as_ref().map(|r| r.leaving)
@@ -363,21 +369,21 @@
             }
         }
         let mut rows = Vec::new();
-        while rows.len() < ROWS_MAX - REFRESH_ROWS {
+        while rows.len() < ROWS_MAX - REFRESH_ROWS_MAX {
             let Some(id) = self.dirty.pop_front() else {
                 break;
             };
             rows.extend(endpoints.get(id).map(|endpoint| self.row(endpoint)));
         }
-        for _ in 0..REFRESH_ROWS.min(endpoints.rows.len()) {
-            self.refresh_at = (self.refresh_at + 1) % endpoints.rows.len();
-            let endpoint = &endpoints.rows[self.refresh_at];
+        for _ in 0..REFRESH_ROWS_MAX.min(endpoints.rows.len()) {
+            self.refresh_index = (self.refresh_index + 1) % endpoints.rows.len();
+            let endpoint = &endpoints.rows[self.refresh_index];
             if endpoint.report.is_some() && rows.iter().all(|row| row.endpoint != endpoint.id) {
                 rows.push(self.row(endpoint));
             }
         }
         for row in &rows {
-            self.told.insert(row.endpoint, row.clone());
+            self.last_sent.insert(row.endpoint, row.clone());
         }
         rows
     }
@@ -397,36 +403,42 @@
     }
 
     /// Assigns endpoints to VMs again when VMs, endpoints or configuration have changed.
-    fn place(&mut self, now: Duration, endpoints: &Endpoints) {
+    fn update_placement(&mut self, now: Duration, endpoints: &Endpoints) {
         let (domain, card) = (self.card.domain, &self.card);
         let mut working = self.members.ranked_for(now, card, domain, 0);
         working.sort_unstable();
-        let mut batching = self.members.batch_ranked(now, card, 0);
+        let mut batching = self.members.ranked_batch_vms(now, card, 0);
         batching.sort_unstable();
         let made_for = (endpoints.rows.len(), card.config);
-        if (&working, &batching, made_for) == (&self.working, &self.batching, self.made_for) {
+        if (&working, &batching, made_for)
+            == (&self.working_vms, &self.batch_vms, self.placement_inputs)
+        {
             return;
         }
-        (self.working, self.batching, self.made_for) = (working, batching, made_for);
-        self.homes.clear();
-        self.polls.clear();
+        (self.working_vms, self.batch_vms, self.placement_inputs) = (working, batching, made_for);
+        self.assigned_vms.clear();
+        self.polled_endpoints.clear();
         for row in endpoints
             .rows
             .iter()
             .filter(|row| row.declared.domain == domain)
         {
-            if let Some(home) = ranked(row.id, self.batching.iter().copied()).first() {
-                self.homes.insert(row.id, *home);
+            if let Some(home) = ranked(row.id, self.batch_vms.iter().copied()).first() {
+                self.assigned_vms.insert(row.id, *home);
             }
-            let pollers = ranked(row.id, self.working.iter().copied());
-            if pollers.iter().take(POLLERS).any(|vm| *vm == self.card.vm) {
-                self.polls.push(row.id);
+            let pollers = ranked(row.id, self.working_vms.iter().copied());
+            if pollers
+                .iter()
+                .take(POLLERS_PER_ENDPOINT)
+                .any(|vm| *vm == self.card.vm)
+            {
+                self.polled_endpoints.push(row.id);
             }
         }
     }
 
-    fn poll(&mut self, now: Duration, out: &mut Vec<Action>) {
-        for endpoint in &self.polls {
+    fn poll_endpoints(&mut self, now: Duration, out: &mut Vec<Action>) {
+        for endpoint in &self.polled_endpoints {
             let last = self.polled_at.get(endpoint);
             if last.is_none_or(|at| now >= *at + POLL_INTERVAL) {
                 self.polled_at.insert(*endpoint, now);
@@ -444,7 +456,8 @@
 
     /// Whether this VM watches the platform and exchanges heartbeats with other domains.
     pub fn is_delegate(&self, now: Duration) -> bool {
-        self.delegate_rank(now).is_some_and(|rank| rank < DELEGATES)
+        self.delegate_rank(now)
+            .is_some_and(|rank| rank < DELEGATES_PER_DOMAIN)
     }
 
     fn delegate_rank(&self, now: Duration) -> Option<usize> {
@@ -456,7 +469,7 @@
 
     /// The VM whose batch process may use an endpoint of the local domain.
     pub fn assigned_vm(&self, endpoint: EndpointId) -> Option<VmId> {
-        self.homes.get(&endpoint).copied()
+        self.assigned_vms.get(&endpoint).copied()
     }
 
     /// Batch processes of the local domain that are up.
@@ -465,15 +478,15 @@
             true => Some(self.card.batch),
             false => self.members.rows.get(vm).map(|row| row.card.batch),
         };
-        self.batching.iter().filter_map(batch).collect()
+        self.batch_vms.iter().filter_map(batch).collect()
     }
 
     /// VMs of the local domain whose batch process is up.
     pub fn batch_vms(&self) -> &[VmId] {
-        &self.batching
+        &self.batch_vms
     }
 }
 
-fn due(last: Option<Duration>, now: Duration) -> bool {
-    last.is_none_or(|at| now >= at + FETCH_PAUSE)
+fn is_fetch_due(last: Option<Duration>, now: Duration) -> bool {
+    last.is_none_or(|at| now >= at + FETCH_RETRY_INTERVAL)
 }
--- a/src/decide/freshness.rs
+++ b/src/decide/freshness.rs
@@ -43,7 +43,7 @@
 /// (0.1 s until they are reported, 0.3 s until they are fetched), or 0.9 s later if a datagram is
 /// lost. If the first VM can't ask or can't report, the second one does in time. Its age is above
 /// the largest one seen while the first VM works: 0.6 s and a heartbeat of 0.5 s.
-const PATIENCE: [Duration; 4] = [
+const REFRESH_AFTER: [Duration; 4] = [
     Duration::from_millis(600),
     Duration::from_millis(1200),
     Duration::from_millis(1500),
@@ -55,7 +55,7 @@
 /// Deployments of that size allow 4 s. The other failure domains receive the first one's
 /// confirmations every 0.6 s, so their delegates ask the store only if it finds nothing: simulated
 /// with 295 VMs, this takes 2 calls a second, and 10 with each failure domain for itself.
-const PATIENCE_LARGE: [Duration; 6] = [
+const REFRESH_AFTER_LARGE: [Duration; 6] = [
     Duration::from_millis(1000),
     Duration::from_millis(1600),
     Duration::from_millis(1700),
@@ -66,15 +66,15 @@
 /// The same for jobs and VMs, for each VM that watches them at the store. Writers report their own
 /// records to the other VMs; only the lapse of a dead VM's registration is reported by no VM, and
 /// its jobs can wait for seconds.
-const PATIENCE_LIVE: Duration = Duration::from_secs(2);
+const LIVE_REFRESH_AFTER: Duration = Duration::from_secs(2);
 
 /// Largest confirmation age at which "there is no such route" is answered: rules are in force
 /// within 2 s of their commit on the tightest deployments. With regular confirmations and no lost
 /// datagram the age is at most 1.1 s, in a large fleet 1.7 s.
-const SURE: Duration = Duration::from_millis(1800);
+const RULES_FRESH_AGE_MAX: Duration = Duration::from_millis(1800);
 /// Largest confirmation age at which a VM answers queries for jobs and VMs while all its store
 /// calls are answered: its refresh interval twice, for the time of a call and of a read.
-const LIVE_SURE: Duration = Duration::from_secs(4);
+const LIVE_FRESH_AGE_MAX: Duration = Duration::from_secs(4);
 
 /// Ages of the sender's own last store confirmations, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,28 +93,28 @@
 
 /// When the calls were sent that last confirmed a subject.
 #[derive(Debug, Default, Clone, Copy)]
-struct Row {
-    own_at: Option<Duration>,
+struct ConfirmedAt {
+    by_store: Option<Duration>,
     /// By another VM's calls; late by the transit time of one datagram.
-    told_at: Option<Duration>,
+    by_peer: Option<Duration>,
 }
 
 /// The last confirmation of each subject.
 #[derive(Debug, Default)]
 pub struct Freshness {
-    rows: [Row; StoreSubject::COUNT],
+    confirmed_at: [ConfirmedAt; StoreSubject::COUNT],
 }
 
 /// Confirmation age at which a VM asks the store again; `None` for a VM that doesn't refresh for
 /// the others. `place` is its rank among those that do.
 pub fn refresh_after(subject: StoreSubject, place: Option<usize>, large: bool) -> Option<Duration> {
     if subject == StoreSubject::Live {
-        return Some(PATIENCE_LIVE);
+        return Some(LIVE_REFRESH_AFTER);
     }
     let steps = if large {
-        &PATIENCE_LARGE[..]
+        &REFRESH_AFTER_LARGE[..]
     } else {
-        &PATIENCE
+        &REFRESH_AFTER
     };
     steps.get(place?).copied()
 }
@@ -123,8 +123,8 @@
     /// Records that the store answered a call on a subject, sent at this time, and that the answer
     /// was applied.
     pub fn confirm(&mut self, subject: StoreSubject, sent_at: Duration) {
-        let row = &mut self.rows[subject as usize];
-        row.own_at = row.own_at.max(Some(sent_at));
+        let row = &mut self.confirmed_at[subject as usize];
+        row.by_store = row.by_store.max(Some(sent_at));
     }
 
     /// Applies a peer's confirmation ages. They confirm the local view only if its versions are as
@@ -143,14 +143,14 @@
 
     /// Applies the confirmation age of a VM that this one follows.
     pub fn confirm_by_peer_at(&mut self, subject: StoreSubject, now: Duration, age: Duration) {
-        let row = &mut self.rows[subject as usize];
-        row.told_at = row.told_at.max(now.checked_sub(age));
+        let row = &mut self.confirmed_at[subject as usize];
+        row.by_peer = row.by_peer.max(now.checked_sub(age));
     }
 
     /// Ages of local confirmations, which are sent to the other VMs.
     pub fn own_confirmation_ages(&self, now: Duration) -> ConfirmationAges {
         let age_ms = |subject: StoreSubject| {
-            let age = now.saturating_sub(self.rows[subject as usize].own_at?);
+            let age = now.saturating_sub(self.confirmed_at[subject as usize].by_store?);
             u32::try_from(age.as_millis()).ok()
         };
         ConfirmationAges {
@@ -161,8 +161,8 @@
 
     /// Age of the last confirmation; `None` if there is none yet.
     pub fn age(&self, now: Duration, subject: StoreSubject) -> Option<Duration> {
-        let row = &self.rows[subject as usize];
-        let at = row.own_at.max(row.told_at)?;
+        let row = &self.confirmed_at[subject as usize];
+        let at = row.by_store.max(row.by_peer)?;
         Some(now.saturating_sub(at))
     }
 
@@ -183,7 +183,7 @@
     /// exist, which ends their retries. While the rules are stale they are told to come back.
     pub fn are_rules_fresh(&self, now: Duration) -> bool {
         self.age(now, StoreSubject::Rules)
-            .is_some_and(|age| age < SURE)
+            .is_some_and(|age| age < RULES_FRESH_AGE_MAX)
     }
 
     /// Whether the store has answered all calls for long without confirming jobs and VMs, so that
@@ -194,8 +194,8 @@
     /// everything has been read anew: each VM that is turned away at that moment reads everything
     /// itself, with 250 of them thousands of calls.
     pub fn is_live_stale(&self, now: Duration, failed_for: Option<Duration>) -> bool {
-        let answered = failed_for.is_none_or(|age| age >= LIVE_SURE);
+        let answered = failed_for.is_none_or(|age| age >= LIVE_FRESH_AGE_MAX);
         let age = self.age(now, StoreSubject::Live);
-        answered && age.is_some_and(|age| age >= LIVE_SURE)
+        answered && age.is_some_and(|age| age >= LIVE_FRESH_AGE_MAX)
     }
 }
--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -52,7 +52,7 @@
     }
 
     /// Whether it accepts work.
-    pub fn working(&self, now: Duration) -> bool {
+    pub fn accepts_work(&self, now: Duration) -> bool {
         self.alive(now) && !self.card.leaving
     }
 }
@@ -60,7 +60,7 @@
 /// Result of applying a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
-    Taken,
+    Applied,
     /// Late, duplicate, or from an incarnation that has ended.
     Stale,
     /// A later process has this VM's id: this one must stop.
@@ -98,7 +98,7 @@
             row.card = card;
             row.sequence = sequence;
             row.heard_at = Some(now);
-            return HeartbeatOutcome::Taken;
+            return HeartbeatOutcome::Applied;
         }
         let row = Member {
             sequence,
@@ -107,7 +107,7 @@
             card,
         };
         self.rows.insert(row.card.vm, row);
-        HeartbeatOutcome::Taken
+        HeartbeatOutcome::Applied
     }
 
     /// Applies the platform's list: adds VMs to send to, and removes none whose heartbeats arrive.
@@ -149,19 +149,19 @@
         let others = self
             .rows
             .values()
-            .filter(|row| row.card.domain == domain && row.working(now))
+            .filter(|row| row.card.domain == domain && row.accepts_work(now))
             .map(|row| row.card.vm);
         let own_id = (own.domain == domain && !own.leaving).then_some(own.vm);
         ranked(key, others.chain(own_id))
     }
 
     /// Like [`Members::ranked_for`], for VMs of the local domain whose batch process is up.
-    pub fn batch_ranked(&self, now: Duration, own: &VmStatus, key: u64) -> Vec<VmId> {
+    pub fn ranked_batch_vms(&self, now: Duration, own: &VmStatus, key: u64) -> Vec<VmId> {
         let others = self
             .rows
             .values()
             .filter(|row| row.card.domain == own.domain)
-            .filter(|row| row.working(now) && row.card.batch != 0)
+            .filter(|row| row.accepts_work(now) && row.card.batch != 0)
             .map(|row| row.card.vm);
         let own_id = (own.batch != 0 && !own.leaving).then_some(own.vm);
         ranked(key, others.chain(own_id))
--- a/src/decide/peers.rs
+++ b/src/decide/peers.rs
@@ -28,14 +28,14 @@
 use crate::id::{self, ranked, ConfigVersion, DomainId, OwnerId, Revision, VmId};
 
 /// Time after the last heartbeat for which a VM counts as alive: three heartbeats.
-const HEARD_LIFE: Duration = Duration::from_millis(1700);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1700);
 /// Age up to which a heartbeat covers every record that callers may have read at its sender long
 /// enough ago to ask another VM for it.
-const JUST_HEARD: Duration = Duration::from_millis(750);
+const FRESH_HEARTBEAT_AGE_MAX: Duration = Duration::from_millis(750);
 /// Orders the VMs of a failure domain for the choice of the watching VM; any constant does.
 const KEY_WATCHER: u64 = 0x7761_7463_6865_7273;
 /// Orders the VMs that refresh rules and endpoints from the store; any constant does.
-const KEY_PROVER: u64 = 0x7072_6f76_6572_7331;
+const KEY_REFRESH: u64 = 0x7072_6f76_6572_7331;
 /// Time after which a VM that is neither registered nor sends heartbeats is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
@@ -48,14 +48,14 @@
     peer_address: Option<SocketAddr>,
     owner: OwnerId,
     sequence: u64,
-    heard_at: Option<Duration>,
-    seen_at: Duration,
+    last_heartbeat_at: Option<Duration>,
+    last_seen_at: Duration,
     /// It is in the store under its lease.
     registered: bool,
     draining: bool,
-    store: bool,
+    store_available: bool,
     /// Since when each of its heartbeats has reported an available store.
-    store_since: Option<Duration>,
+    store_available_since: Option<Duration>,
     rules: ConfigVersion,
     endpoints: Revision,
     jobs: Revision,
@@ -88,9 +88,9 @@
     delegates: Vec<VmId>,
     /// Delegates of the other failure domains, each with its rank in its domain; filled on
     /// delegates only.
-    far_delegates: Vec<(usize, VmId)>,
+    remote_delegates: Vec<(usize, VmId)>,
     /// Since when a VM has been expected to act as a delegate.
-    expected: HashMap<VmId, Duration>,
+    delegate_expected_since: HashMap<VmId, Duration>,
     /// Processes that a newer process of the same VM has replaced, and when that was seen.
     replaced: HashMap<OwnerId, Duration>,
 }
@@ -110,8 +110,8 @@
             mesh_max,
             domains: Domains::default(),
             delegates: Vec::new(),
-            far_delegates: Vec::new(),
-            expected: HashMap::new(),
+            remote_delegates: Vec::new(),
+            delegate_expected_since: HashMap::new(),
             replaced: HashMap::new(),
         }
     }
@@ -140,12 +140,12 @@
                 peer_address: record.peer_address(),
                 owner: record.owner,
                 sequence: 0,
-                heard_at: None,
-                seen_at: now,
+                last_heartbeat_at: None,
+                last_seen_at: now,
                 registered: true,
                 draining: false,
-                store: false,
-                store_since: None,
+                store_available: false,
+                store_available_since: None,
                 rules: 0,
                 endpoints: 0,
                 jobs: 0,
@@ -154,9 +154,12 @@
                 core_share: record.core_share,
             });
             peer.registered = true;
-            peer.seen_at = now;
+            peer.last_seen_at = now;
             peer.core_share = record.core_share;
-            if peer.heard_at.is_none_or(|at| now >= at + HEARD_LIFE) {
+            if peer
+                .last_heartbeat_at
+                .is_none_or(|at| now >= at + PEER_TIMEOUT)
+            {
                 if peer.owner != record.owner {
                     self.replaced.insert(peer.owner, now);
                 }
@@ -170,7 +173,7 @@
     /// Whether a heartbeat of the same process arrived before.
     pub fn is_known_process(&self, beat: &Heartbeat) -> bool {
         let known = self.rows.get(&id::of(&beat.name));
-        known.is_some_and(|peer| peer.owner == beat.owner && peer.heard_at.is_some())
+        known.is_some_and(|peer| peer.owner == beat.owner && peer.last_heartbeat_at.is_some())
     }
 
     /// Applies a heartbeat; false when it is late or duplicate.
@@ -185,20 +188,22 @@
             self.replaced.insert(before.owner, now);
         }
         self.replaced.remove(&beat.owner);
-        let spoken = known.filter(|peer| peer.owner == beat.owner && peer.lives(now));
-        let store_since = spoken.and_then(|peer| peer.store_since).unwrap_or(now);
+        let spoken = known.filter(|peer| peer.owner == beat.owner && peer.is_alive(now));
+        let store_since = spoken
+            .and_then(|peer| peer.store_available_since)
+            .unwrap_or(now);
         let peer = Peer {
             domain: beat.domain,
             gossip_address: from,
             peer_address: Some(SocketAddr::new(from.ip(), beat.peer_port)),
             owner: beat.owner,
             sequence: beat.sequence,
-            heard_at: Some(now),
-            seen_at: now,
+            last_heartbeat_at: Some(now),
+            last_seen_at: now,
             registered: known.is_some_and(|peer| peer.registered),
             draining: beat.draining,
-            store: beat.store,
-            store_since: beat.store.then_some(store_since),
+            store_available: beat.store,
+            store_available_since: beat.store.then_some(store_since),
             rules: beat.rules,
             endpoints: beat.endpoints,
             jobs: beat.jobs,
@@ -219,7 +224,7 @@
     /// jobs call this once.
     pub fn living_owners(&self, now: Duration) -> HashSet<OwnerId> {
         let rows = self.rows.values();
-        let living = rows.filter(|peer| peer.registered || peer.lives(now));
+        let living = rows.filter(|peer| peer.registered || peer.is_alive(now));
         let unregistered = self.domains.living(now);
         let unregistered = unregistered.flat_map(|(_, told)| told.unregistered.iter().copied());
         let owners = living.map(|peer| peer.owner).chain(unregistered);
@@ -240,7 +245,7 @@
     /// Rank of this VM among all VMs that accept work, in the order for `key`.
     pub fn rank(&self, now: Duration, own: VmId, key: u64) -> usize {
         let others = self.rows.iter();
-        let working = others.filter(|(vm, peer)| self.works(now, **vm, peer));
+        let working = others.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
         let vms = working.map(|(vm, _)| *vm).chain([own]);
         let order = ranked(key, vms);
         order.iter().position(|vm| *vm == own).unwrap_or(0)
@@ -249,16 +254,17 @@
     /// The process that takes over a job from this VM; all VMs choose the same one.
     pub fn successor(&self, now: Duration, key: u64) -> Option<OwnerId> {
         let rows = self.rows.iter();
-        let fit = rows
-            .filter(|(vm, peer)| self.works(now, **vm, peer) && (peer.store || !peer.lives(now)));
+        let fit = rows.filter(|(vm, peer)| {
+            self.accepts_work(now, **vm, peer) && (peer.store_available || !peer.is_alive(now))
+        });
         let first = ranked(key, fit.map(|(vm, _)| *vm)).first().copied()?;
         self.rows.get(&first).map(|peer| peer.owner)
     }
 
     /// Whether a VM accepts work. It must be alive by heartbeats in a small fleet, registered in a
     /// large one, where most VMs send none to this one.
-    fn works(&self, now: Duration, vm: VmId, peer: &Peer) -> bool {
-        let here = peer.lives(now) || (self.is_large() && peer.registered);
+    fn accepts_work(&self, now: Duration, vm: VmId, peer: &Peer) -> bool {
+        let here = peer.is_alive(now) || (self.is_large() && peer.registered);
         here && !peer.draining && !self.domains.is_draining(now, vm)
     }
 
@@ -288,24 +294,24 @@
     /// one.
     pub fn tick(&mut self, now: Duration, own: LocalVm) -> bool {
         self.rows
-            .retain(|_, peer| peer.registered || now < peer.seen_at + FORGET_AFTER);
+            .retain(|_, peer| peer.registered || now < peer.last_seen_at + FORGET_AFTER);
         self.replaced.retain(|_, at| now < *at + FORGET_AFTER);
         self.domains.tick(now);
         let rows = &self.rows;
-        self.expected
+        self.delegate_expected_since
             .retain(|vm, _| rows.get(vm).is_some_and(|peer| peer.registered));
         let before = self.is_delegate(own.vm);
         self.delegates = match self.is_large() {
-            true => self.chosen(now, own.domain, Some(own).filter(|own| !own.draining)),
+            true => self.choose_delegates(now, own.domain, Some(own).filter(|own| !own.draining)),
             false => Vec::new(),
         };
         let after = self.is_delegate(own.vm);
-        self.far_delegates.clear();
+        self.remote_delegates.clear();
         if after {
             let domains: HashSet<DomainId> = self.rows.values().map(|peer| peer.domain).collect();
             for domain in domains.into_iter().filter(|domain| *domain != own.domain) {
-                let chosen = self.chosen(now, domain, None);
-                self.far_delegates.extend(chosen.into_iter().enumerate());
+                let chosen = self.choose_delegates(now, domain, None);
+                self.remote_delegates.extend(chosen.into_iter().enumerate());
             }
         }
         before != after
@@ -315,7 +321,7 @@
     pub fn address(&self, now: Duration, owner: OwnerId) -> Option<SocketAddr> {
         let large = self.is_large();
         let rows = self.rows.values();
-        let mut living = rows.filter(|peer| peer.lives(now) || (large && peer.registered));
+        let mut living = rows.filter(|peer| peer.is_alive(now) || (large && peer.registered));
         living
             .find(|peer| peer.owner == owner)
             .and_then(|peer| peer.peer_address)
@@ -325,7 +331,9 @@
     /// record. Never true in a large fleet, where most VMs send none to this one.
     pub fn all_confirm_jobs(&self, now: Duration, jobs: Revision) -> bool {
         let told = |peer: &Peer| {
-            let heard = peer.heard_at.is_some_and(|at| now < at + JUST_HEARD);
+            let heard = peer
+                .last_heartbeat_at
+                .is_some_and(|at| now < at + FRESH_HEARTBEAT_AGE_MAX);
             heard && peer.jobs <= jobs
         };
         let mut rows = self.rows.values().filter(|peer| peer.registered);
@@ -340,7 +348,7 @@
     /// Number of other VMs that are registered or alive.
     pub fn expected_vms(&self, now: Duration) -> u32 {
         let rows = self.rows.values();
-        let expected = rows.filter(|peer| peer.registered || peer.lives(now));
+        let expected = rows.filter(|peer| peer.registered || peer.is_alive(now));
         expected.count() as u32
     }
 
@@ -348,7 +356,7 @@
     pub fn living_vms(&self, now: Duration) -> usize {
         let large = self.is_large();
         let rows = self.rows.values();
-        let living = rows.filter(|peer| peer.lives(now) || (large && peer.registered));
+        let living = rows.filter(|peer| peer.is_alive(now) || (large && peer.registered));
         living.count()
     }
 }
@@ -361,7 +369,8 @@
 }
 
 impl Peer {
-    fn lives(&self, now: Duration) -> bool {
-        self.heard_at.is_some_and(|at| now < at + HEARD_LIFE)
+    fn is_alive(&self, now: Duration) -> bool {
+        self.last_heartbeat_at
+            .is_some_and(|at| now < at + PEER_TIMEOUT)
     }
 }
--- a/src/decide/peers/asking.rs
+++ b/src/decide/peers/asking.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::delegates::DELEGATES;
-use super::{LocalVm, Peers, KEY_PROVER, KEY_WATCHER};
+use super::delegates::DELEGATES_PER_DOMAIN;
+use super::{LocalVm, Peers, KEY_REFRESH, KEY_WATCHER};
 use crate::id::{ranked, ConfigVersion, DomainId, Revision, VmId};
 
 /// Versions that a VM has.
@@ -44,40 +44,43 @@
             return None;
         }
         if !self.is_large() {
-            return place(own.vm, self.mesh_with_store(now));
+            return rank_among(own.vm, self.mesh_vms_with_store(now));
         }
         if self.is_represented(own) {
-            return place(own.vm, self.spoken_for(own)).map(|place| 2 * DELEGATES + place);
+            return rank_among(own.vm, self.represented_vms(own))
+                .map(|place| 2 * DELEGATES_PER_DOMAIN + place);
         }
-        let near = place(own.vm, self.delegates_with_store(now))?.min(DELEGATES - 1);
-        match place(own.domain, self.domains_with_store(now))? {
+        let near =
+            rank_among(own.vm, self.delegates_with_store(now))?.min(DELEGATES_PER_DOMAIN - 1);
+        match rank_among(own.domain, self.domains_with_store(now))? {
             0 => Some(near),
-            _ => Some(DELEGATES + near),
+            _ => Some(DELEGATES_PER_DOMAIN + near),
         }
     }
 
-    fn mesh_with_store(&self, now: Duration) -> impl Iterator<Item = VmId> + '_ {
+    fn mesh_vms_with_store(&self, now: Duration) -> impl Iterator<Item = VmId> + '_ {
         let rows = self.rows.iter();
-        let fit = rows.filter(move |(_, peer)| peer.lives(now) && peer.store && !peer.draining);
+        let fit = rows
+            .filter(move |(_, peer)| peer.is_alive(now) && peer.store_available && !peer.draining);
         fit.map(|(vm, _)| *vm)
     }
 
     fn delegates_with_store(&self, now: Duration) -> impl Iterator<Item = VmId> + '_ {
         let speaks = move |vm: &VmId| {
             let speaker = self.domains.living_delegate(now, *vm);
-            speaker.is_some_and(|speaker| speaker.store && !speaker.draining)
+            speaker.is_some_and(|speaker| speaker.store_available && !speaker.draining)
         };
         self.delegates.iter().copied().filter(speaks)
     }
 
     fn domains_with_store(&self, now: Duration) -> impl Iterator<Item = DomainId> + '_ {
         let speakers = self.domains.living_delegates(now);
-        let fit = speakers.filter(|speaker| speaker.store && !speaker.draining);
+        let fit = speakers.filter(|speaker| speaker.store_available && !speaker.draining);
         fit.map(|speaker| speaker.domain)
     }
 
     /// Other VMs of the local failure domain that its delegates represent.
-    fn spoken_for(&self, own: LocalVm) -> impl Iterator<Item = VmId> + '_ {
+    fn represented_vms(&self, own: LocalVm) -> impl Iterator<Item = VmId> + '_ {
         let rows = self.rows.iter();
         let members = rows.filter(move |(vm, peer)| {
             peer.registered && peer.domain == own.domain && !self.is_delegate(**vm)
@@ -95,7 +98,10 @@
         }
         let rows = self.rows.iter();
         let fit = rows.filter(|(_, peer)| {
-            peer.domain == own.domain && peer.lives(now) && peer.store && !peer.draining
+            peer.domain == own.domain
+                && peer.is_alive(now)
+                && peer.store_available
+                && !peer.draining
         });
         let others = fit.clone().map(|(vm, _)| *vm);
         let vms = others.chain(own.fit.then_some(own.vm));
@@ -117,11 +123,14 @@
         let delegates = self.delegates.iter().filter(|vm| **vm != own.vm);
         let speakers = delegates.filter_map(|vm| self.domains.living_delegate(now, *vm));
         let speakers: Vec<_> = speakers.filter(|speaker| !speaker.draining).collect();
-        let fit: Vec<_> = speakers.iter().filter(|speaker| speaker.store).collect();
+        let fit: Vec<_> = speakers
+            .iter()
+            .filter(|speaker| speaker.store_available)
+            .collect();
         if self.is_delegate(own.vm) || !fit.is_empty() {
-            return shared(own.vm, fit.iter().map(|speaker| speaker.peer_address));
+            return pick_address(own.vm, fit.iter().map(|speaker| speaker.peer_address));
         }
-        shared(own.vm, speakers.iter().map(|speaker| speaker.peer_address))
+        pick_address(own.vm, speakers.iter().map(|speaker| speaker.peer_address))
     }
 
     /// Living VMs with newer rules or endpoints than `known`, among those that `answers` accepts.
@@ -134,7 +143,7 @@
         known: KnownVersions,
         answers: impl Fn(SocketAddr) -> bool,
     ) -> NewerPeers {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
         let heard = living.filter_map(|peer| {
             let known = (peer.rules, peer.endpoints);
             Some((known, peer.domain == home, peer.peer_address?))
@@ -165,13 +174,13 @@
     /// A living VM that the metadata store answers: the one with the latest heartbeat, else a
     /// delegate.
     pub fn peer_with_store(&self, now: Duration) -> Option<SocketAddr> {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let reaching = living.filter(|peer| peer.store && !peer.draining);
-        let last = reaching.max_by_key(|peer| peer.heard_at);
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let reaching = living.filter(|peer| peer.store_available && !peer.draining);
+        let last = reaching.max_by_key(|peer| peer.last_heartbeat_at);
         let near = last.and_then(|peer| peer.peer_address);
         near.or_else(|| {
             let mut speakers = self.domains.living_delegates(now);
-            let one = speakers.find(|speaker| speaker.store && !speaker.draining);
+            let one = speakers.find(|speaker| speaker.store_available && !speaker.draining);
             one.map(|speaker| speaker.peer_address)
         })
     }
@@ -179,16 +188,16 @@
     /// Whether the metadata store has served a living VM for at least `time`, by all its messages
     /// in that time.
     pub fn is_store_serving_for(&self, now: Duration, time: Duration) -> bool {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let near = living.filter_map(|peer| peer.store_since);
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let near = living.filter_map(|peer| peer.store_available_since);
         let speakers = self.domains.living_delegates(now);
-        let mut since = near.chain(speakers.filter_map(|speaker| speaker.store_since));
+        let mut since = near.chain(speakers.filter_map(|speaker| speaker.store_available_since));
         since.any(|since| now >= since + time)
     }
 
     /// The newest job revision that a living VM has reported.
     pub fn newest_job_revision(&self, now: Duration) -> Revision {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
         let told = self.domains.living(now).map(|(_, told)| told.jobs);
         let all = living.map(|peer| peer.jobs).chain(told);
         all.max().unwrap_or(0)
@@ -196,13 +205,13 @@
 }
 
 /// Rank of the local id among it and others, which is the same on all VMs.
-fn place(own: u64, others: impl Iterator<Item = u64>) -> Option<usize> {
-    let order = ranked(KEY_PROVER, others.chain([own]));
+fn rank_among(own: u64, others: impl Iterator<Item = u64>) -> Option<usize> {
+    let order = ranked(KEY_REFRESH, others.chain([own]));
     order.iter().position(|id| *id == own)
 }
 
 /// One of several addresses: half of the VMs use one delegate, half the other.
-fn shared(vm: VmId, addresses: impl Iterator<Item = SocketAddr>) -> Option<SocketAddr> {
+fn pick_address(vm: VmId, addresses: impl Iterator<Item = SocketAddr>) -> Option<SocketAddr> {
     let addresses: Vec<SocketAddr> = addresses.collect();
     let at = vm as usize % addresses.len().max(1);
     addresses.get(at).copied()
--- a/src/decide/peers/messages.rs
+++ b/src/decide/peers/messages.rs
@@ -100,9 +100,9 @@
     /// Processes whose heartbeats arrive but which are not registered in the store.
     pub unregistered: Vec<OwnerId>,
     /// VMs that are draining.
-    pub leaving: Vec<VmId>,
+    pub draining_vms: Vec<VmId>,
     /// VMs with waiting items, and how many; sent to the local failure domain only.
-    pub rivals: Vec<(VmId, u32)>,
+    pub competing_vms: Vec<(VmId, u32)>,
     /// Items that the addressed VM may keep at an endpoint that is over its limit.
     pub keeps: Vec<(EndpointId, u32)>,
     /// VMs whose heartbeats arrive at the delegate, itself included.
--- a/src/decide/peers/round.rs
+++ b/src/decide/peers/round.rs
@@ -13,23 +13,23 @@
 
 /// Bytes for a summary's lists in one datagram of 1,400, which also holds its other fields and its
 /// authentication.
-const BYTES_MAX: usize = 1300;
+const LISTS_BYTES_MAX: usize = 1300;
 /// Largest use of an endpoint: an id and four counts.
 const ROW_BYTES: usize = 16;
 /// Largest entry of any other list: an id and a count.
 const ENTRY_BYTES: usize = 13;
 /// VMs with waiting items in one summary, those with most first. An endpoint has fewer slots, and
 /// VMs that are left out get theirs when others have been served.
-const RIVALS_MAX: usize = 16;
+const COMPETING_VMS_MAX: usize = 16;
 /// Endpoints in one summary at which the addressed VM has to give up items; the next round names
 /// the rest.
-const KEEPS_MAX: usize = 10;
+const ALLOWANCES_MAX: usize = 10;
 /// Processes without a registration in one summary: nearly all of a failure domain's 50, after an
 /// outage in which registrations lapsed. Jobs of a process that is left out are run twice for a
 /// while.
 const UNREGISTERED_MAX: usize = 48;
 /// Draining VMs in one summary; no more than these are stopped at a time.
-const LEAVING_MAX: usize = 12;
+const DRAINING_VMS_MAX: usize = 12;
 /// Routes and workspaces with waiting tokens in one summary; those left out are counted by the
 /// reservations in the store.
 const BACKLOG_MAX: usize = 16;
@@ -43,8 +43,8 @@
     summary: Summary,
     uses: DomainUsage,
     counts: DomainCounts,
-    rivals: Vec<(VmId, u32)>,
-    keeps: HashMap<VmId, Vec<(EndpointId, u32)>>,
+    competing_vms: Vec<(VmId, u32)>,
+    item_allowances: HashMap<VmId, Vec<(EndpointId, u32)>>,
 }
 
 impl SummaryRound {
@@ -57,7 +57,7 @@
         counts: DomainCounts,
         endpoints: &Endpoints,
     ) -> SummaryRound {
-        let keeps = uses.keeps(endpoints);
+        let keeps = uses.item_allowances(endpoints);
         let summary = Summary {
             by: id::of(&own.name),
             owner: own.owner,
@@ -72,11 +72,11 @@
             endpoints: own.endpoints,
             proofs: own.proofs,
             jobs: summed.jobs,
-            waiting: summed.rivals.iter().map(|(_, items)| items).sum(),
-            backlog: first(summed.backlog, BACKLOG_MAX),
-            unregistered: first(summed.unregistered, UNREGISTERED_MAX),
-            leaving: first(summed.leaving, LEAVING_MAX),
-            rivals: Vec::new(),
+            waiting: summed.competing_vms.iter().map(|(_, items)| items).sum(),
+            backlog: truncated(summed.backlog, BACKLOG_MAX),
+            unregistered: truncated(summed.unregistered, UNREGISTERED_MAX),
+            draining_vms: truncated(summed.draining_vms, DRAINING_VMS_MAX),
+            competing_vms: Vec::new(),
             keeps: Vec::new(),
             vms: counts.vms,
             counts: QuotaCounts {
@@ -89,24 +89,24 @@
             summary,
             uses,
             counts,
-            rivals: summed.rivals,
-            keeps,
+            competing_vms: summed.competing_vms,
+            item_allowances: keeps,
         }
     }
 
     /// Whether a VM has to give up items.
     pub fn has_excess_items(&self, vm: VmId) -> bool {
-        self.keeps.contains_key(&vm)
+        self.item_allowances.contains_key(&vm)
     }
 
     /// Summary for one VM of the failure domain, in parts.
     pub fn for_member(&self, vm: VmId) -> Vec<Summary> {
-        let others = self.rivals.iter().filter(|(rival, _)| *rival != vm);
-        let keeps = self.keeps.get(&vm).map_or(&[][..], Vec::as_slice);
+        let others = self.competing_vms.iter().filter(|(rival, _)| *rival != vm);
+        let keeps = self.item_allowances.get(&vm).map_or(&[][..], Vec::as_slice);
         let first = Summary {
-            rivals: others.take(RIVALS_MAX).copied().collect(),
-            keeps: keeps.iter().take(KEEPS_MAX).copied().collect(),
-            counts: self.told_counts(self.counts.without(vm)),
+            competing_vms: others.take(COMPETING_VMS_MAX).copied().collect(),
+            keeps: keeps.iter().take(ALLOWANCES_MAX).copied().collect(),
+            counts: self.truncated_counts(self.counts.without(vm)),
             ..self.summary.clone()
         };
         self.parts(first, &self.uses.without(vm))
@@ -115,15 +115,15 @@
     /// Summary for the delegates of the other failure domains, in parts.
     pub fn for_delegates(&self) -> Vec<Summary> {
         let first = Summary {
-            counts: self.told_counts(self.counts.rows.clone()),
+            counts: self.truncated_counts(self.counts.rows.clone()),
             ..self.summary.clone()
         };
         self.parts(first, &self.uses.all())
     }
 
-    fn told_counts(&self, rows: Vec<WorkspaceCount>) -> QuotaCounts {
+    fn truncated_counts(&self, rows: Vec<WorkspaceCount>) -> QuotaCounts {
         QuotaCounts {
-            rows: first(rows, COUNTS_MAX),
+            rows: truncated(rows, COUNTS_MAX),
             ..self.summary.counts.clone()
         }
     }
@@ -131,15 +131,15 @@
     /// A summary with all its rows, in as many parts as they need. The first one has the other
     /// lists.
     fn parts(&self, first: Summary, rows: &EndpointUses) -> Vec<Summary> {
-        let entries = first.rivals.len()
+        let entries = first.competing_vms.len()
             + first.keeps.len()
             + first.unregistered.len()
-            + first.leaving.len()
+            + first.draining_vms.len()
             + first.backlog.len()
             + first.counts.rows.len();
-        let left = BYTES_MAX.saturating_sub(entries * ENTRY_BYTES);
+        let left = LISTS_BYTES_MAX.saturating_sub(entries * ENTRY_BYTES);
         let (own, rest) = rows.split_at(rows.len().min(left / ROW_BYTES));
-        let rest = rest.chunks(BYTES_MAX / ROW_BYTES);
+        let rest = rest.chunks(LISTS_BYTES_MAX / ROW_BYTES);
         let parts = 1 + rest.len() as u8;
         let first = Summary {
             parts,
@@ -152,7 +152,7 @@
             rows: rows.to_vec(),
             backlog: Vec::new(),
             unregistered: Vec::new(),
-            leaving: Vec::new(),
+            draining_vms: Vec::new(),
             ..self.summary.clone()
         });
         [first].into_iter().chain(rest).collect()
@@ -160,7 +160,7 @@
 }
 
 /// The first `count` entries of a list.
-fn first<T>(mut list: Vec<T>, count: usize) -> Vec<T> {
+fn truncated<T>(mut list: Vec<T>, count: usize) -> Vec<T> {
     list.truncate(count);
     list
 }
--- a/src/decide/peers/speaking.rs
+++ b/src/decide/peers/speaking.rs
@@ -4,11 +4,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::delegates::{far_rounds, ordered, Candidate, DELEGATES, ROUNDS_MESHED};
+use super::delegates::{
+    delegate_order, rounds_per_remote_summary, Candidate, DELEGATES_PER_DOMAIN,
+    ROUNDS_PER_MESH_SUMMARY,
+};
 use super::messages::{Heartbeat, Summary};
 use super::round::SummaryRound;
 use super::uses::{DomainUsage, EndpointUses};
-use super::{LocalVm, Peer, Peers, HEARD_LIFE};
+use super::{LocalVm, Peer, Peers, PEER_TIMEOUT};
 use crate::decide::backlog::RouteKey;
 use crate::decide::endpoints::Endpoints;
 use crate::decide::quota::DomainCounts;
@@ -21,9 +24,9 @@
     pub jobs: Revision,
     pub backlog: Vec<(RouteKey, u64)>,
     pub unregistered: Vec<OwnerId>,
-    pub leaving: Vec<VmId>,
+    pub draining_vms: Vec<VmId>,
     /// VMs with waiting items, those with the most first.
-    pub rivals: Vec<(VmId, u32)>,
+    pub competing_vms: Vec<(VmId, u32)>,
 }
 
 impl Peers {
@@ -33,7 +36,7 @@
     /// Without this, when both delegates die at once, no VM of the domain would receive anything
     /// until their registrations lapse after 3 s. The next ones in order take over after a second
     /// and a half of silence.
-    pub(super) fn chosen(
+    pub(super) fn choose_delegates(
         &mut self,
         now: Duration,
         domain: DomainId,
@@ -52,20 +55,20 @@
             vm: own.vm,
             core_share: own.core_share,
         });
-        let order = ordered(domain, others.chain(own));
+        let order = delegate_order(domain, others.chain(own));
         let own = own.map(|own| own.vm);
         let trusted = order
             .into_iter()
-            .filter(|vm| Some(*vm) == own || self.is_trusted(now, *vm));
-        trusted.take(DELEGATES).collect()
+            .filter(|vm| Some(*vm) == own || self.is_presumed_alive(now, *vm));
+        trusted.take(DELEGATES_PER_DOMAIN).collect()
     }
 
-    fn is_trusted(&mut self, now: Duration, vm: VmId) -> bool {
+    fn is_presumed_alive(&mut self, now: Duration, vm: VmId) -> bool {
         if self.domains.was_delegate(vm) {
             return self.domains.is_delegate_alive(now, vm);
         }
-        let since = *self.expected.entry(vm).or_insert(now);
-        now < since + HEARD_LIFE
+        let since = *self.delegate_expected_since.entry(vm).or_insert(now);
+        now < since + PEER_TIMEOUT
     }
 
     /// Where heartbeats go: to the VMs of the local failure domain (`near`), or to those of the
@@ -99,7 +102,7 @@
     /// first one of the local failure domain, since the domain may be cut off.
     pub fn aggregators(&self, now: Duration, (own, home): (VmId, DomainId), key: u64) -> Vec<VmId> {
         let rows = self.rows.iter();
-        let working = rows.filter(|(vm, peer)| self.works(now, **vm, peer));
+        let working = rows.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
         let working: Vec<(VmId, DomainId)> = working.map(|(vm, peer)| (*vm, peer.domain)).collect();
         let all = working.iter().map(|(vm, _)| *vm).chain([own]);
         let near = working.iter().filter(|(_, domain)| *domain == home);
@@ -132,18 +135,18 @@
 
     /// Whether a delegate sends summaries to its failure domain in this round.
     pub fn is_domain_round(&self, round: u64, home: DomainId) -> bool {
-        !self.is_domain_meshed(home) || round.is_multiple_of(ROUNDS_MESHED)
+        !self.is_domain_meshed(home) || round.is_multiple_of(ROUNDS_PER_MESH_SUMMARY)
     }
 
     /// Whether a delegate sends summaries to the other failure domains in this round.
     pub fn is_remote_round(&self, round: u64) -> bool {
-        let others = self.far_delegates.len().div_ceil(DELEGATES);
-        round.is_multiple_of(far_rounds(others + 1))
+        let others = self.remote_delegates.len().div_ceil(DELEGATES_PER_DOMAIN);
+        round.is_multiple_of(rounds_per_remote_summary(others + 1))
     }
 
     /// Recipients of a delegate's summaries in the other failure domains.
     pub fn remote_delegate_addresses(&self) -> Vec<SocketAddr> {
-        let vms: Vec<VmId> = self.far_delegates.iter().map(|(_, vm)| *vm).collect();
+        let vms: Vec<VmId> = self.remote_delegates.iter().map(|(_, vm)| *vm).collect();
         self.addresses(&vms)
     }
 
@@ -152,7 +155,10 @@
     /// once.
     pub fn forwards_summary(&self, own: VmId, summary: &Summary) -> bool {
         let place = self.delegates.iter().position(|vm| *vm == own);
-        let by = self.far_delegates.iter().find(|(_, vm)| *vm == summary.by);
+        let by = self
+            .remote_delegates
+            .iter()
+            .find(|(_, vm)| *vm == summary.by);
         // The first delegate forwards those of a sender that is no delegate in this VM's view.
         place.is_some_and(|place| place == by.map_or(0, |(place, _)| *place))
     }
@@ -169,19 +175,19 @@
     ) -> SummaryRound {
         let own_uses = own.rows.iter();
         let own_uses: EndpointUses = own_uses
-            .map(|row| (row.endpoint, RemoteUse::of(&row.uses)))
+            .map(|row| (row.endpoint, RemoteUse::from_use(&row.uses)))
             .collect();
         let members = self.domain_peers(own.domain).into_iter();
         let said = members.map(|(vm, _)| (vm, usage.uses_of_vm(vm)));
         let uses = DomainUsage::new(said.chain([(id::of(&own.name), own_uses)]));
-        let summed = self.summed(now, own.domain, own);
+        let summed = self.domain_totals(now, own.domain, own);
         SummaryRound::new(own, peer_address, summed, uses, counts, endpoints)
     }
 
     /// Totals of the VMs of the failure domain, for a summary; `own` is this delegate's heartbeat.
-    fn summed(&self, now: Duration, home: DomainId, own: &Heartbeat) -> DomainTotals {
+    fn domain_totals(&self, now: Duration, home: DomainId, own: &Heartbeat) -> DomainTotals {
         let rows = self.rows.iter().filter(|(_, peer)| peer.domain == home);
-        let heard: Vec<(&VmId, &Peer)> = rows.filter(|(_, peer)| peer.lives(now)).collect();
+        let heard: Vec<(&VmId, &Peer)> = rows.filter(|(_, peer)| peer.is_alive(now)).collect();
         let peers = || heard.iter().map(|(_, peer)| *peer);
         let own_vm = id::of(&own.name);
         let mut backlog: HashMap<RouteKey, u64> = HashMap::new();
@@ -205,8 +211,8 @@
                 .filter(|peer| !peer.registered)
                 .map(|peer| peer.owner)
                 .collect(),
-            leaving: leaving.chain(own.draining.then_some(own_vm)).collect(),
-            rivals,
+            draining_vms: leaving.chain(own.draining.then_some(own_vm)).collect(),
+            competing_vms: rivals,
         }
     }
 }
--- a/src/decide/peers/uses.rs
+++ b/src/decide/peers/uses.rs
@@ -44,7 +44,7 @@
         let mut sums = self.all.clone();
         for (endpoint, one) in own {
             if let Some(sum) = sums.get_mut(endpoint) {
-                sum.take(one);
+                sum.subtract(one);
             }
         }
         let used = |sum: &RemoteUse| *sum != RemoteUse::default();
@@ -56,14 +56,14 @@
     /// A VM has only the sums over the others and can't tell how many items each of them gives up:
     /// all VMs would give up theirs, or none. The delegate has the counts of each VM and computes
     /// the result for all.
-    pub fn keeps(&self, endpoints: &Endpoints) -> HashMap<VmId, Vec<(EndpointId, u32)>> {
+    pub fn item_allowances(&self, endpoints: &Endpoints) -> HashMap<VmId, Vec<(EndpointId, u32)>> {
         let mut keeps: HashMap<VmId, Vec<(EndpointId, u32)>> = HashMap::new();
         for (id, sum) in &self.all {
             let excess = endpoints.get(*id).map_or(0, |row| excess(row, sum.batch));
             if excess == 0 {
                 continue;
             }
-            let users = self.batch_users(*id);
+            let users = self.batch_vms(*id);
             for (at, (vm, batch)) in users.iter().enumerate() {
                 let others: Vec<(VmId, u32)> = users[..at]
                     .iter()
@@ -77,7 +77,7 @@
         keeps
     }
 
-    fn batch_users(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
+    fn batch_vms(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
         let of = |(vm, uses): (&VmId, &EndpointUses)| {
             let used = uses.iter().find(|(at, _)| *at == endpoint);
             let batch = used.map_or(0, |(_, one)| one.batch);
--- a/src/decide/peers/waiting.rs
+++ b/src/decide/peers/waiting.rs
@@ -12,7 +12,8 @@
     /// if only its delegate reports it.
     pub fn competing_vms(&self, now: Duration, home: DomainId, own: VmId) -> Vec<CompetingVm> {
         let rows = self.rows.iter();
-        let heard = rows.filter(|(_, peer)| peer.lives(now) && peer.waiting > 0 && !peer.draining);
+        let heard =
+            rows.filter(|(_, peer)| peer.is_alive(now) && peer.waiting > 0 && !peer.draining);
         let heard = heard.map(|(vm, peer)| CompetingVm {
             vm: *vm,
             domain: peer.domain,
@@ -23,7 +24,7 @@
         }
         let mut rivals: Vec<CompetingVm> = match self.receives_domain_heartbeats(own, home) {
             true => heard.filter(|rival| rival.domain == home).collect(),
-            false => self.told_rivals(now, home),
+            false => self.reported_competing_vms(now, home),
         };
         let far = self
             .domains
@@ -39,9 +40,9 @@
     }
 
     /// VMs of a failure domain with waiting items, as its delegate reports.
-    fn told_rivals(&self, now: Duration, domain: DomainId) -> Vec<CompetingVm> {
+    fn reported_competing_vms(&self, now: Duration, domain: DomainId) -> Vec<CompetingVm> {
         let told = self.domains.status(now, domain);
-        let rivals = told.map_or(&[][..], |told| &told.rivals).iter();
+        let rivals = told.map_or(&[][..], |told| &told.competing_vms).iter();
         let rival = |(vm, items): &(VmId, u32)| CompetingVm {
             vm: *vm,
             domain,
@@ -57,13 +58,13 @@
         let peer = rows.find(|peer| peer.owner == owner);
         peer.is_some_and(|peer| {
             let summed = self.is_large() && self.domains.status(now, peer.domain).is_some();
-            peer.lives(now) || (summed && peer.registered)
+            peer.is_alive(now) || (summed && peer.registered)
         })
     }
 
     /// Tokens that wait on a route at the other living VMs, as last reported.
     pub fn backlog(&self, now: Duration, route: RouteKey, home: DomainId, own: VmId) -> u64 {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
         let heard = living.flat_map(|peer| &peer.backlog);
         let heard_home = self.receives_domain_heartbeats(own, home);
         let told = self.domains.living(now);
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -9,13 +9,13 @@
 
 /// Time after which a report is dropped: a VM that is gone must not keep slots from the others, and
 /// a living one reports three times within this time.
-pub const USE_LIFE: Duration = Duration::from_millis(1600);
+pub const USE_EXPIRES_AFTER: Duration = Duration::from_millis(1600);
 
 /// Largest number of parts of a group report: 80 endpoints each, and a failure domain has some
 /// hundreds.
-const PARTS_MAX: u8 = 16;
+const REPORT_PARTS_MAX: u8 = 16;
 /// Time after which item allowances from a delegate lapse; long enough for one lost round.
-const KEEP_LIFE: Duration = Duration::from_millis(500);
+const ALLOWANCE_EXPIRES_AFTER: Duration = Duration::from_millis(500);
 
 /// One VM's requests at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Said {
+struct UseReport {
     at: Duration,
     /// Invariant: each of these is included in the sum of its endpoint.
     uses: Vec<(EndpointId, RemoteUse)>,
@@ -37,14 +37,14 @@
 #[derive(Debug, Default)]
 pub struct Usage {
     /// By VM, or by part of a failure domain's summary.
-    rows: HashMap<u64, Said>,
+    reports: HashMap<u64, UseReport>,
     /// Kept up to date with `rows`: routing and placement read the sum of every endpoint, and
     /// adding up the counts of 50 VMs at 60 endpoints with each of 500 heartbeats a second took
     /// more time than all requests did.
     sums: HashMap<EndpointId, RemoteUse>,
     /// Items that this VM may keep at endpoints over their limit, from its delegate.
-    keeps: HashMap<EndpointId, u32>,
-    kept_at: Duration,
+    allowances: HashMap<EndpointId, u32>,
+    allowances_at: Duration,
 }
 
 /// Use of one endpoint by several other VMs.
@@ -59,7 +59,7 @@
 
 impl RemoteUse {
     /// The use by one VM.
-    pub fn of(one: &EndpointUse) -> RemoteUse {
+    pub fn from_use(one: &EndpointUse) -> RemoteUse {
         RemoteUse {
             online: u32::from(one.online),
             batch: u32::from(one.batch),
@@ -77,7 +77,7 @@
     }
 
     /// Subtracts a use that was added before.
-    pub fn take(&mut self, one: &RemoteUse) {
+    pub fn subtract(&mut self, one: &RemoteUse) {
         self.online -= one.online;
         self.batch -= one.batch;
         self.urgent -= one.urgent;
@@ -95,7 +95,11 @@
         uses: impl IntoIterator<Item = (EndpointId, EndpointUse)>,
     ) -> Vec<EndpointId> {
         let uses = uses.into_iter();
-        self.apply_group_report(now, vm, uses.map(|(id, one)| (id, RemoteUse::of(&one))))
+        self.apply_group_report(
+            now,
+            vm,
+            uses.map(|(id, one)| (id, RemoteUse::from_use(&one))),
+        )
     }
 
     /// Like [`Usage::apply_report`] for several VMs at once, under the id of the group.
@@ -110,8 +114,8 @@
             self.sums.entry(*endpoint).or_default().add(one);
         }
         let mut touched: Vec<EndpointId> = uses.iter().map(|(endpoint, _)| *endpoint).collect();
-        if let Some(before) = self.rows.insert(source, Said { at: now, uses }) {
-            self.uncount(&before);
+        if let Some(before) = self.reports.insert(source, UseReport { at: now, uses }) {
+            self.subtract_report(&before);
             touched.extend(before.uses.iter().map(|(endpoint, _)| *endpoint));
         }
         touched
@@ -129,7 +133,7 @@
     ) -> Vec<EndpointId> {
         let id = |part: u8| weight(source, u64::from(part));
         let mut touched = self.apply_group_report(now, id(part), uses);
-        let over = (parts..PARTS_MAX).filter(|part| self.rows.contains_key(&id(*part)));
+        let over = (parts..REPORT_PARTS_MAX).filter(|part| self.reports.contains_key(&id(*part)));
         for part in over.collect::<Vec<u8>>() {
             touched.extend(self.apply_group_report(now, id(part), []));
         }
@@ -138,22 +142,22 @@
 
     /// Drops expired reports.
     pub fn tick(&mut self, now: Duration) {
-        let old = |said: &Said| now >= said.at + USE_LIFE;
-        let gone = self.rows.iter().filter(|(_, said)| old(said));
+        let old = |said: &UseReport| now >= said.at + USE_EXPIRES_AFTER;
+        let gone = self.reports.iter().filter(|(_, said)| old(said));
         let gone: Vec<VmId> = gone.map(|(vm, _)| *vm).collect();
         for vm in gone {
-            if let Some(said) = self.rows.remove(&vm) {
-                self.uncount(&said);
+            if let Some(said) = self.reports.remove(&vm) {
+                self.subtract_report(&said);
             }
         }
     }
 
-    fn uncount(&mut self, said: &Said) {
+    fn subtract_report(&mut self, said: &UseReport) {
         for (endpoint, one) in &said.uses {
             let Some(sum) = self.sums.get_mut(endpoint) else {
                 continue;
             };
-            sum.take(one);
+            sum.subtract(one);
             if *sum == RemoteUse::default() {
                 self.sums.remove(endpoint);
             }
@@ -167,17 +171,17 @@
 
     /// VMs with batch work at an endpoint; a group that is reported as one counts as one.
     pub fn batch_users(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
-        let of = |(vm, said): (&VmId, &Said)| {
+        let of = |(vm, said): (&VmId, &UseReport)| {
             let at = |(at, _): &&(EndpointId, RemoteUse)| *at == endpoint;
             let batch = said.uses.iter().find(at).map_or(0, |(_, one)| one.batch);
             (batch > 0).then_some((*vm, batch))
         };
-        self.rows.iter().filter_map(of).collect()
+        self.reports.iter().filter_map(of).collect()
     }
 
     /// The use that one VM last reported.
     pub fn uses_of_vm(&self, vm: VmId) -> Vec<(EndpointId, RemoteUse)> {
-        let said = self.rows.get(&vm);
+        let said = self.reports.get(&vm);
         said.map_or_else(Vec::new, |said| said.uses.clone())
     }
 
@@ -187,14 +191,14 @@
         now: Duration,
         keeps: impl IntoIterator<Item = (EndpointId, u32)>,
     ) {
-        self.keeps = keeps.into_iter().collect();
-        self.kept_at = now;
+        self.allowances = keeps.into_iter().collect();
+        self.allowances_at = now;
     }
 
     /// How many items this VM may keep at an endpoint; `None` without a current allowance.
     pub fn item_allowance(&self, now: Duration, endpoint: EndpointId) -> Option<u32> {
-        let fresh = now < self.kept_at + KEEP_LIFE;
-        self.keeps.get(&endpoint).copied().filter(|_| fresh)
+        let fresh = now < self.allowances_at + ALLOWANCE_EXPIRES_AFTER;
+        self.allowances.get(&endpoint).copied().filter(|_| fresh)
     }
 }
 
--- a/tests/endpoint_uses.rs
+++ b/tests/endpoint_uses.rs
@@ -2,27 +2,27 @@
 
 use std::time::Duration;
 
-use bramleyseam::decide::usage::{EndpointUse, RemoteUse, Usage, USE_LIFE};
+use bramleyseam::decide::usage::{EndpointUse, RemoteUse, Usage, USE_EXPIRES_AFTER};
 use quickcheck::quickcheck;
 
 const ENDPOINTS: u64 = 4;
 
 /// One VM's report and its time.
-struct Word {
+struct UseReport {
     at: Duration,
     vm: u64,
     uses: Vec<(u64, EndpointUse)>,
 }
 
 /// Pause before the report, VM, and online and batch counts by endpoint.
-type Drawn = (u8, u8, Vec<(u16, u16)>);
+type RandomReport = (u8, u8, Vec<(u16, u16)>);
 
 /// Reference: the sum of each VM's last report.
-fn added_up(said: &[Word], now: Duration, endpoint: u64) -> RemoteUse {
+fn expected_sum(said: &[UseReport], now: Duration, endpoint: u64) -> RemoteUse {
     let mut sum = RemoteUse::default();
     for vm in 0..4 {
         let last = said.iter().rev().find(|word| word.vm == vm);
-        let lives = last.filter(|word| now < word.at + USE_LIFE);
+        let lives = last.filter(|word| now < word.at + USE_EXPIRES_AFTER);
         let uses = lives.into_iter().flat_map(|word| &word.uses);
         for (_, one) in uses.filter(|(at, _)| *at == endpoint) {
             sum.online += u32::from(one.online);
@@ -37,7 +37,7 @@
 // Guards against running sums that drift from the VMs' last reports as reports are replaced, lapse
 // and come again: slots would be granted twice, or reserved for no VM.
 quickcheck! {
-    fn sums_hold(words: Vec<Drawn>) -> bool {
+    fn sums_hold(words: Vec<RandomReport>) -> bool {
         let mut usage = Usage::default();
         let mut said = Vec::new();
         let mut now = Duration::ZERO;
@@ -52,8 +52,8 @@
                 .collect();
             usage.tick(now);
             usage.apply_report(now, u64::from(vm % 4), uses.clone());
-            said.push(Word { at: now, vm: u64::from(vm % 4), uses });
-            let holds = |at| usage.of(at) == added_up(&said, now, at);
+            said.push(UseReport { at: now, vm: u64::from(vm % 4), uses });
+            let holds = |at| usage.of(at) == expected_sum(&said, now, at);
             if !(0..ENDPOINTS).all(holds) {
                 return false;
             }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -20,16 +20,16 @@
 /// Time of one simulation step; a datagram takes one step.
 const STEP: Duration = Duration::from_millis(20);
 /// Time between two heartbeats of a VM whose counts change all the time.
-const BEAT: Duration = Duration::from_millis(100);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// The same in a large fleet.
-const BEAT_LARGE: Duration = Duration::from_millis(60);
+const HEARTBEAT_INTERVAL_LARGE: Duration = Duration::from_millis(60);
 /// Endpoints of a failure domain, each in use by several of its VMs.
 const ENDPOINTS: u64 = 32;
 /// Endpoints that one VM uses at a time.
-const USED: u64 = 5;
-const RULES: u64 = 7;
+const ENDPOINTS_PER_VM: u64 = 5;
+const NEW_RULES: u64 = 7;
 /// Longest time from receiving a newer rules version to having the rules.
-const FETCH: Duration = Duration::from_millis(300);
+const FETCH_TIME_MAX: Duration = Duration::from_millis(300);
 
 enum Datagram {
     Heartbeat(Heartbeat),
@@ -42,15 +42,15 @@
     usage: Usage,
     rules: u64,
     /// Since when another VM has reported newer rules.
-    behind_since: Option<Duration>,
+    rules_stale_since: Option<Duration>,
     sequence: u64,
     rounds: u64,
     dead: bool,
     store: bool,
     /// Its store calls get no answer, though its local state doesn't show that yet.
     unanswered: bool,
-    proofs: Freshness,
-    proof_calls: u64,
+    freshness: Freshness,
+    refresh_calls: u64,
     received: u64,
     received_bytes: u64,
     sent: u64,
@@ -58,12 +58,12 @@
 
 struct Fleet {
     vms: Vec<Vm>,
-    at: HashMap<SocketAddr, usize>,
+    vm_indexes: HashMap<SocketAddr, usize>,
     domains: u64,
     /// Version of the rules at the store. No watch reports it.
     newest_rules: u64,
     now: Duration,
-    under_way: Vec<(SocketAddr, usize, Datagram)>,
+    in_flight: Vec<(SocketAddr, usize, Datagram)>,
 }
 
 impl Vm {
@@ -71,7 +71,7 @@
         id::of(&self.record.name)
     }
 
-    fn own(&self) -> LocalVm {
+    fn local_vm(&self) -> LocalVm {
         LocalVm {
             vm: self.id(),
             domain: self.record.domain,
@@ -86,7 +86,7 @@
         self.record.domain * 1_000_000 + self.record.owner % ENDPOINTS
     }
 
-    fn beat(&mut self, now: Duration) -> Heartbeat {
+    fn next_heartbeat(&mut self, now: Duration) -> Heartbeat {
         self.sequence += 1;
         let uses = EndpointUse {
             online: 1,
@@ -105,13 +105,13 @@
             store: self.store,
             rules: self.rules,
             endpoints: 1,
-            proofs: self.proofs.own_confirmation_ages(now),
+            proofs: self.freshness.own_confirmation_ages(now),
             jobs: 1,
             waiting: 0,
             backlog: Vec::new(),
             peer_port: 2,
             counts: QuotaCounts::default(),
-            rows: (0..USED).map(row).collect(),
+            rows: (0..ENDPOINTS_PER_VM).map(row).collect(),
         }
     }
 }
@@ -133,20 +133,20 @@
             peers: Peers::default(),
             usage: Usage::default(),
             rules: 1,
-            behind_since: None,
+            rules_stale_since: None,
             sequence: 0,
             rounds: 0,
             dead: false,
             store: true,
             unanswered: false,
-            proofs: Freshness::default(),
-            proof_calls: 0,
+            freshness: Freshness::default(),
+            refresh_calls: 0,
             received: 0,
             received_bytes: 0,
             sent: 0,
         };
         let mut fleet = Fleet {
-            at: records
+            vm_indexes: records
                 .iter()
                 .enumerate()
                 .map(|(at, r)| (r.gossip_address, at))
@@ -155,7 +155,7 @@
             domains,
             newest_rules: 1,
             now: Duration::from_secs(100),
-            under_way: Vec::new(),
+            in_flight: Vec::new(),
         };
         fleet.register();
         fleet.run(Duration::from_secs(2), |_| false);
@@ -165,10 +165,10 @@
     /// Gives all VMs the full list of registrations.
     fn register(&mut self) {
         let records: Vec<VmRecord> = self.vms.iter().map(|vm| vm.record.clone()).collect();
-        self.know(&records);
+        self.set_registrations(&records);
     }
 
-    fn know(&mut self, records: &[VmRecord]) {
+    fn set_registrations(&mut self, records: &[VmRecord]) {
         for vm in &mut self.vms {
             let own = (vm.id(), vm.record.owner);
             vm.peers.apply_registrations(self.now, own, records);
@@ -190,7 +190,7 @@
 
     fn step(&mut self) {
         let now = self.now;
-        for (from, to, datagram) in std::mem::take(&mut self.under_way) {
+        for (from, to, datagram) in std::mem::take(&mut self.in_flight) {
             if self.vms[to].dead {
                 continue;
             }
@@ -203,20 +203,28 @@
                 continue;
             }
             let vm = &mut self.vms[at];
-            let own = vm.own();
+            let own = vm.local_vm();
             if vm.peers.tick(now, own) {
                 vm.usage = Usage::default();
             }
             vm.usage.tick(now);
             vm.fetch_rules(now);
-            vm.prove(now, own, self.newest_rules);
+            vm.refresh_from_store(now, own, self.newest_rules);
             // Spreads the VMs over different steps.
             let phase = STEP * (at as u32 % 5);
             let large = !self.vms[at]
                 .peers
                 .is_domain_meshed(self.vms[at].record.domain);
-            if is_due(now, if large { BEAT_LARGE } else { BEAT }, phase) {
-                self.send_beat(at, is_due(now, BEAT * 5, phase));
+            if is_due(
+                now,
+                if large {
+                    HEARTBEAT_INTERVAL_LARGE
+                } else {
+                    HEARTBEAT_INTERVAL
+                },
+                phase,
+            ) {
+                self.send_heartbeat(at, is_due(now, HEARTBEAT_INTERVAL * 5, phase));
             }
             if is_due(now, SUMMARY_INTERVAL, phase) && self.vms[at].peers.is_delegate(own.vm) {
                 self.send_round(at);
@@ -224,8 +232,8 @@
         }
     }
 
-    fn send_beat(&mut self, at: usize, far: bool) {
-        let beat = self.vms[at].beat(self.now);
+    fn send_heartbeat(&mut self, at: usize, far: bool) {
+        let beat = self.vms[at].next_heartbeat(self.now);
         let domain = self.vms[at].record.domain;
         let mut targets = self.vms[at].peers.heartbeat_targets(domain, true);
         if far {
@@ -241,7 +249,7 @@
         let vm = &mut self.vms[at];
         vm.rounds += 1;
         let (rounds, home) = (vm.rounds, vm.record.domain);
-        let own = vm.beat(now);
+        let own = vm.next_heartbeat(now);
         let members = vm.peers.domain_peers(home);
         let address = vm.record.gossip_address;
         let round = vm.peers.summary_round(
@@ -270,8 +278,8 @@
     fn send(&mut self, from: usize, to: SocketAddr, datagram: Datagram) {
         self.vms[from].sent += 1;
         let address = self.vms[from].record.gossip_address;
-        if let Some(to) = self.at.get(&to) {
-            self.under_way.push((address, *to, datagram));
+        if let Some(to) = self.vm_indexes.get(&to) {
+            self.in_flight.push((address, *to, datagram));
         }
     }
 
@@ -285,7 +293,7 @@
 }
 
 impl Vm {
-    fn knows(&self, rules: u64) -> VersionsMatch {
+    fn versions_match(&self, rules: u64) -> VersionsMatch {
         VersionsMatch {
             rules: self.rules >= rules,
             endpoints: true,
@@ -293,23 +301,23 @@
     }
 
     /// Asks the store for rules and endpoints when this VM's rank makes it due.
-    fn prove(&mut self, now: Duration, own: LocalVm, newest_rules: u64) {
+    fn refresh_from_store(&mut self, now: Duration, own: LocalVm, newest_rules: u64) {
         let place = self.peers.refresh_rank(now, own);
         for subject in [StoreSubject::Rules, StoreSubject::Endpoints] {
             let patience = freshness::refresh_after(subject, place, self.peers.is_large());
             let due =
-                patience.is_some_and(|p| self.proofs.refresh_due_in(now, subject, p).is_zero());
+                patience.is_some_and(|p| self.freshness.refresh_due_in(now, subject, p).is_zero());
             if !due {
                 continue;
             }
-            self.proof_calls += 1;
+            self.refresh_calls += 1;
             if self.unanswered {
                 // The failed call shows the VM that the store doesn't answer it.
                 self.store = false;
                 continue;
             }
             self.rules = self.rules.max(newest_rules);
-            self.proofs.confirm(subject, now);
+            self.freshness.confirm(subject, now);
         }
     }
 
@@ -317,13 +325,18 @@
     fn fetch_rules(&mut self, now: Duration) {
         if self
             .peers
-            .newer_peers(now, self.record.domain, knowing(self.rules), |_| true)
+            .newer_peers(
+                now,
+                self.record.domain,
+                versions_with_rules(self.rules),
+                |_| true,
+            )
             .rules
             .is_none()
         {
-            self.behind_since = None;
-        } else if now >= *self.behind_since.get_or_insert(now) + FETCH {
-            self.rules = RULES;
+            self.rules_stale_since = None;
+        } else if now >= *self.rules_stale_since.get_or_insert(now) + FETCH_TIME_MAX {
+            self.rules = NEW_RULES;
         }
     }
 
@@ -344,23 +357,26 @@
         match datagram {
             Datagram::Heartbeat(beat) => {
                 if self.peers.apply_heartbeat(now, from, &beat) {
-                    self.proofs
-                        .confirm_by_peer(now, beat.proofs, self.knows(beat.rules));
+                    self.freshness.confirm_by_peer(
+                        now,
+                        beat.proofs,
+                        self.versions_match(beat.rules),
+                    );
                     let rows = beat.rows.iter().map(|row| (row.endpoint, row.uses));
                     self.usage.apply_report(now, id::of(&beat.name), rows);
                 }
                 Vec::new()
             }
-            Datagram::Summary(summary) => self.take_summary(now, summary),
+            Datagram::Summary(summary) => self.receive_summary(now, summary),
         }
     }
 
-    fn take_summary(&mut self, now: Duration, summary: Summary) -> Vec<(SocketAddr, Summary)> {
+    fn receive_summary(&mut self, now: Duration, summary: Summary) -> Vec<(SocketAddr, Summary)> {
         if summary.by == self.id() || !self.peers.domains.apply_summary(now, &summary) {
             return Vec::new();
         }
-        let knows = self.knows(summary.rules);
-        self.proofs.confirm_by_peer(now, summary.proofs, knows);
+        let knows = self.versions_match(summary.rules);
+        self.freshness.confirm_by_peer(now, summary.proofs, knows);
         let near = summary.domain == self.record.domain;
         if near
             && self
@@ -381,7 +397,7 @@
 }
 
 /// Versions of a VM that lacks no endpoint.
-fn knowing(rules: u64) -> KnownVersions {
+fn versions_with_rules(rules: u64) -> KnownVersions {
     KnownVersions {
         rules,
         endpoints: u64::MAX,
@@ -394,7 +410,7 @@
 
 /// Bytes and datagrams that a VM receives on average, and datagrams that the busiest one sends, per
 /// second.
-fn cost(vms: usize, domains: u64) -> (f64, f64, f64) {
+fn message_cost(vms: usize, domains: u64) -> (f64, f64, f64) {
     let mut fleet = Fleet::new(vms, domains);
     for vm in &mut fleet.vms {
         (vm.received, vm.received_bytes, vm.sent) = (0, 0, 0);
@@ -411,7 +427,7 @@
     )
 }
 
-const SIZES: [(usize, u64); 7] = [
+const FLEET_SIZES: [(usize, u64); 7] = [
     (6, 3),
     (30, 3),
     (64, 4),
@@ -425,8 +441,8 @@
 // each, so that callers get no answers. What one VM receives must not grow with the number of VMs.
 #[test]
 fn cost_bounded() {
-    for (vms, domains) in SIZES {
-        let (bytes, datagrams, most) = cost(vms, domains);
+    for (vms, domains) in FLEET_SIZES {
+        let (bytes, datagrams, most) = message_cost(vms, domains);
         println!("{vms} VMs, {domains} domains: {bytes:.0} B/s, {datagrams:.0} datagrams/s, busiest sends {most:.0}/s");
         // A full mesh of 64 VMs has 250 datagrams a second.
         assert!(datagrams <= 250.0, "{vms}: {datagrams} datagrams a second");
@@ -443,11 +459,11 @@
 // VM watches the store itself as well.
 #[test]
 fn rules_known() {
-    for (vms, domains) in SIZES {
+    for (vms, domains) in FLEET_SIZES {
         let mut fleet = Fleet::new(vms, domains);
         let first = fleet.delegates(1).first().copied().unwrap_or(0);
-        fleet.vms[first].rules = RULES;
-        let all = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.rules == RULES);
+        fleet.vms[first].rules = NEW_RULES;
+        let all = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.rules == NEW_RULES);
         let took = fleet.run(Duration::from_secs(4), all);
         println!("{vms} VMs: {took:?}");
         let bound = Duration::from_millis(1800);
@@ -459,13 +475,13 @@
 // endpoint reaches the VMs of its failure domain within 0.3 s, the others within 1.2 s.
 #[test]
 fn uses_known() {
-    for (vms, domains) in SIZES {
+    for (vms, domains) in FLEET_SIZES {
         let mut fleet = Fleet::new(vms, domains);
         let user = vms - 1;
         let (home, endpoint) = (fleet.vms[user].record.domain, fleet.vms[user].endpoint());
         let users = |fleet: &Fleet, vm: &Vm| {
             let of = |other: &&Vm| {
-                let uses = (0..USED).any(|step| {
+                let uses = (0..ENDPOINTS_PER_VM).any(|step| {
                     endpoint % 1_000_000 == (other.record.owner + step * 7) % ENDPOINTS
                 });
                 uses && other.record.domain == home && other.id() != vm.id()
@@ -501,7 +517,7 @@
         assert_eq!(dead.len(), 2, "{vms}");
         for at in dead {
             fleet.vms[at].dead = true;
-            fleet.vms[at].rules = RULES;
+            fleet.vms[at].rules = NEW_RULES;
         }
         let spoken = |fleet: &Fleet| {
             let vms = fleet
@@ -509,7 +525,7 @@
                 .iter()
                 .filter(|vm| !vm.dead && vm.record.domain == 1);
             let hears = |vm: &Vm| {
-                let own = vm.own();
+                let own = vm.local_vm();
                 vm.peers.is_delegate(own.vm) || vm.peers.is_updated_by_delegate(fleet.now, own)
             };
             let living = fleet
@@ -537,7 +553,7 @@
     fleet.vms.iter_mut().for_each(|vm| vm.store = false);
     fleet.run(Duration::from_secs(3), |_| false);
     let at_the_store = |vm: &&Vm| {
-        let own = vm.own();
+        let own = vm.local_vm();
         vm.peers.watching_vm(fleet.now, own).is_none()
             || !vm.peers.is_updated_by_delegate(fleet.now, own)
     };
@@ -549,13 +565,13 @@
 #[test]
 fn registrations_lapse() {
     let mut fleet = Fleet::new(250, 5);
-    fleet.know(&[]);
+    fleet.set_registrations(&[]);
     fleet.run(Duration::from_millis(2000), |_| false);
     for domain in 1..=5 {
         assert_eq!(fleet.delegates(domain).len(), 2);
     }
     for vm in &fleet.vms {
-        let own = vm.own();
+        let own = vm.local_vm();
         assert!(vm.peers.is_delegate(own.vm) || vm.peers.is_updated_by_delegate(fleet.now, own));
     }
     let owners: Vec<u64> = fleet.vms.iter().map(|vm| vm.record.owner).collect();
@@ -593,14 +609,16 @@
     let mut fleet = Fleet::new(250, 5);
     for domain in 1..=5 {
         for at in fleet.delegates(domain) {
-            fleet.vms[at].rules = RULES;
+            fleet.vms[at].rules = NEW_RULES;
         }
     }
     fleet.run(Duration::from_millis(2000), |_| false);
     for vm in &fleet.vms {
         let asked = vm
             .peers
-            .newer_peers(fleet.now, vm.record.domain, knowing(1), |_| true)
+            .newer_peers(fleet.now, vm.record.domain, versions_with_rules(1), |_| {
+                true
+            })
             .rules
             .unwrap();
         let of = |other: &&Vm| other.record.gossip_address.ip() == asked.ip();
@@ -649,7 +667,7 @@
             };
             (vm as u64 + 1, vec![(id, one)])
         });
-        let keeps = DomainUsage::new(uses).keeps(&endpoints);
+        let keeps = DomainUsage::new(uses).item_allowances(&endpoints);
         let kept: u32 = keeps.values().flatten().map(|(_, kept)| kept).sum();
         match excess {
             0 => keeps.is_empty(),
@@ -660,19 +678,19 @@
 }
 
 /// Sizes of deployed fleets, and their failure domains.
-const RUN: [(usize, u64); 3] = [(6, 3), (51, 4), (295, 5)];
+const DEPLOYED_FLEETS: [(usize, u64); 3] = [(6, 3), (51, 4), (295, 5)];
 
 // Guards against each VM asking the store on its own, which is billed for each VM and exceeds the
 // store's rate limit. Confirmations of rules and endpoints take as many calls with 51 VMs as with
 // 6, and fewer with 295, where the time limit is longer.
 #[test]
 fn proofs_shared() {
-    for (vms, domains) in RUN {
+    for (vms, domains) in DEPLOYED_FLEETS {
         let mut fleet = Fleet::new(vms, domains);
-        fleet.vms.iter_mut().for_each(|vm| vm.proof_calls = 0);
+        fleet.vms.iter_mut().for_each(|vm| vm.refresh_calls = 0);
         let time = Duration::from_secs(10);
         fleet.run(time, |_| false);
-        let calls: u64 = fleet.vms.iter().map(|vm| vm.proof_calls).sum();
+        let calls: u64 = fleet.vms.iter().map(|vm| vm.refresh_calls).sum();
         let a_second = calls as f64 / time.as_secs_f64();
         println!("{vms} VMs, {domains} domains: {a_second:.1} calls a second");
         // Two subjects, each asked for every 0.6 s by one VM, or every second in a fleet of
@@ -684,7 +702,7 @@
 
 /// Time within which rules are in force: of the tightest deployments, and of those with hundreds of
 /// VMs.
-fn bound(vms: usize) -> Duration {
+fn rules_time_max(vms: usize) -> Duration {
     Duration::from_secs(if vms <= 64 { 2 } else { 4 })
 }
 
@@ -692,18 +710,18 @@
 // all VMs have them in time, also if the first such VM has died or gets no answer.
 #[test]
 fn unheard_rules() {
-    for (vms, domains) in RUN {
+    for (vms, domains) in DEPLOYED_FLEETS {
         for (dead, unanswered) in [(0, 0), (1, 0), (0, 1)] {
             let mut fleet = Fleet::new(vms, domains);
-            let mut first = provers(&fleet);
+            let mut first = refreshing_vms(&fleet);
             first.truncate(dead + unanswered);
             for (place, at) in first.into_iter().enumerate() {
                 fleet.vms[at].dead = place < dead;
                 fleet.vms[at].unanswered = place >= dead;
             }
-            fleet.newest_rules = RULES;
-            let all = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.dead || vm.rules == RULES);
-            let took = fleet.run(bound(vms), all);
+            fleet.newest_rules = NEW_RULES;
+            let all = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.dead || vm.rules == NEW_RULES);
+            let took = fleet.run(rules_time_max(vms), all);
             println!("{vms} VMs, {dead} dead, {unanswered} unanswered: {took:?}");
             assert!(
                 took.is_some(),
@@ -714,8 +732,8 @@
 }
 
 /// VMs that refresh from the store for the others, by rank.
-fn provers(fleet: &Fleet) -> Vec<usize> {
-    let place = |vm: &Vm| vm.peers.refresh_rank(fleet.now, vm.own());
+fn refreshing_vms(fleet: &Fleet) -> Vec<usize> {
+    let place = |vm: &Vm| vm.peers.refresh_rank(fleet.now, vm.local_vm());
     let mut places: Vec<(usize, usize)> = fleet
         .vms
         .iter()
@@ -731,13 +749,13 @@
 // source.
 #[test]
 fn proofs_age() {
-    for (vms, domains) in RUN {
+    for (vms, domains) in DEPLOYED_FLEETS {
         let mut fleet = Fleet::new(vms, domains);
         let oldest = |fleet: &Fleet| {
             let ages = fleet
                 .vms
                 .iter()
-                .map(|vm| vm.proofs.age(fleet.now, StoreSubject::Rules));
+                .map(|vm| vm.freshness.age(fleet.now, StoreSubject::Rules));
             ages.map(|age| age.unwrap_or(Duration::MAX)).max().unwrap()
         };
         let old = |fleet: &Fleet| oldest(fleet) >= Duration::from_millis(1800);
@@ -748,7 +766,7 @@
         fleet.run(Duration::from_secs(5), |_| false);
         let passed = fleet.now - silent_at;
         for vm in &fleet.vms {
-            let age = vm.proofs.age(fleet.now, StoreSubject::Rules).unwrap();
+            let age = vm.freshness.age(fleet.now, StoreSubject::Rules).unwrap();
             assert!(age >= passed - STEP * 2, "{vms}: {age:?} after {passed:?}");
         }
     }
@@ -759,12 +777,12 @@
 // represent the rest.
 #[test]
 fn outage_unproved() {
-    for (vms, domains) in RUN {
+    for (vms, domains) in DEPLOYED_FLEETS {
         let mut fleet = Fleet::new(vms, domains);
         fleet.vms.iter_mut().for_each(|vm| vm.unanswered = true);
-        fleet.vms.iter_mut().for_each(|vm| vm.proof_calls = 0);
+        fleet.vms.iter_mut().for_each(|vm| vm.refresh_calls = 0);
         fleet.run(Duration::from_secs(10), |_| false);
-        let calls: u64 = fleet.vms.iter().map(|vm| vm.proof_calls).sum();
+        let calls: u64 = fleet.vms.iter().map(|vm| vm.refresh_calls).sum();
         println!("{vms} VMs: {calls} calls");
         let asking = if vms <= 64 { vms as u64 } else { 4 * domains };
         assert!(calls <= 2 * asking, "{vms}: {calls} calls");
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -9,21 +9,21 @@
 use rand::{Rng, SeedableRng};
 
 const SERVICE: u64 = 1;
-const HOME: u64 = 1;
+const LOCAL_DOMAIN: u64 = 1;
 const VMS: usize = 54;
 const ENDPOINTS: usize = 32;
 const SLOTS: usize = 7;
 /// Time for which a request holds its slot.
-const HOLD_MS: u64 = 720;
+const SLOT_HOLD_MS: u64 = 720;
 /// A burst that uses 95% of the slots.
 const REQUESTS_PER_S: f64 = 295.0;
-const BURST_MS: u64 = 2400;
+const BURST_DURATION_MS: u64 = 2400;
 /// Interval at which each VM receives the counts of the others.
-const NEWS_MS: u64 = 100;
+const SUMMARY_INTERVAL_MS: u64 = 100;
 /// Time until a VM's counts reach its delegate.
-const BEAT_MS: u64 = 50;
+const HEARTBEAT_DELAY_MS: u64 = 50;
 /// Latest first token that is still in time for the caller.
-const GOAL_MS: u64 = 300;
+const FIRST_TOKEN_GOAL_MS: u64 = 300;
 
 /// A request at an engine.
 #[derive(Clone)]
@@ -41,12 +41,12 @@
 
 impl Engine {
     /// Admits a request; returns how long it waits for its slot.
-    fn take(&mut self, now: u64, vm: usize) -> u64 {
+    fn admit(&mut self, now: u64, vm: usize) -> u64 {
         let here = self.requests.iter().filter(|request| request.ends > now);
         let mut busy: Vec<u64> = here.map(|request| request.ends).collect();
         busy.sort_unstable_by(|a, b| b.cmp(a));
         let starts = busy.get(SLOTS - 1).copied().unwrap_or(now);
-        let ends = starts + HOLD_MS;
+        let ends = starts + SLOT_HOLD_MS;
         self.requests.push(Request {
             sent: now,
             ends,
@@ -64,24 +64,24 @@
 }
 
 /// Share of a burst's requests that start in time.
-fn in_time(late_news: bool, seed: u64) -> f64 {
+fn in_time_share(late_news: bool, seed: u64) -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut engines = vec![Engine::default(); ENDPOINTS];
     let table = || {
         let mut table = Endpoints::default();
         table.counts_lag = late_news;
-        table.configure(declared(ENDPOINTS, SERVICE, SLOTS as f64, |_| HOME));
+        table.configure(declared(ENDPOINTS, SERVICE, SLOTS as f64, |_| LOCAL_DOMAIN));
         table
     };
     let mut tables: Vec<Endpoints> = (0..VMS).map(|_| table()).collect();
     let (mut asked, mut started) = (0, 0);
-    for now in 0..BURST_MS {
+    for now in 0..BURST_DURATION_MS {
         for (vm, table) in tables.iter_mut().enumerate() {
             for (engine, row) in engines.iter().zip(&mut table.rows) {
                 row.online_here = engine.online(now, |of| of == vm);
                 // A summary round of a delegate, with the counts that it received by then.
-                if now.is_multiple_of(NEWS_MS) {
-                    let heard = now.saturating_sub(BEAT_MS);
+                if now.is_multiple_of(SUMMARY_INTERVAL_MS) {
+                    let heard = now.saturating_sub(HEARTBEAT_DELAY_MS);
                     row.online_elsewhere = engine.online(heard, |of| of != vm);
                     row.remote_vms = row.online_elsewhere;
                 }
@@ -100,7 +100,7 @@
         let policy = Policy::TwoChoices;
         let found = choose(
             &tables[vm],
-            HOME,
+            LOCAL_DOMAIN,
             ask,
             policy,
             Duration::from_millis(now),
@@ -108,7 +108,7 @@
         );
         if let Ok(id) = found {
             let at = tables[vm].rows.iter().position(|row| row.id == id).unwrap();
-            started += u64::from(engines[at].take(now, vm) <= GOAL_MS);
+            started += u64::from(engines[at].admit(now, vm) <= FIRST_TOKEN_GOAL_MS);
         }
     }
     started as f64 / asked as f64
@@ -119,7 +119,12 @@
 // by load among all local engines spreads the requests.
 #[test]
 fn news_is_late() {
-    let mean = |late_news| (1..=5).map(|seed| in_time(late_news, seed)).sum::<f64>() / 5.0;
+    let mean = |late_news| {
+        (1..=5)
+            .map(|seed| in_time_share(late_news, seed))
+            .sum::<f64>()
+            / 5.0
+    };
     let (slots_first, by_load) = (mean(false), mean(true));
     println!("in time: {slots_first:.3} with free slots first, {by_load:.3} by load");
     assert!(by_load > slots_first);
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -29,7 +29,7 @@
     now: Duration,
     loss: f64,
     vms: Vec<Vm>,
-    wires: Vec<(Duration, usize, Heartbeat)>,
+    in_flight: Vec<(Duration, usize, Heartbeat)>,
     /// Pairs of VMs; datagrams from the first to the second are lost.
     cuts: Vec<(usize, usize)>,
     removals: u32,
@@ -42,7 +42,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1000 + at as u16))
 }
 
-fn card(at: usize, domains: usize, incarnation: u64) -> VmStatus {
+fn status(at: usize, domains: usize, incarnation: u64) -> VmStatus {
     let name = format!("vm-{at}");
     VmStatus {
         vm: id::of(&name),
@@ -66,7 +66,7 @@
 
 impl World {
     fn new(seed: u64, vms: usize, domains: usize, count: usize, loss: f64) -> World {
-        let cards: Vec<VmStatus> = (0..vms).map(|at| card(at, domains, 1)).collect();
+        let cards: Vec<VmStatus> = (0..vms).map(|at| status(at, domains, 1)).collect();
         let fresh = |at: usize| {
             let mut fleet = Fleet::new(cards[at].clone());
             fleet.members.apply_vm_list(&cards[at], cards.clone());
@@ -83,7 +83,7 @@
             now: Duration::ZERO,
             loss,
             vms: (0..vms).map(fresh).collect(),
-            wires: Vec::new(),
+            in_flight: Vec::new(),
             cuts: Vec::new(),
             removals: 0,
             report: EndpointReport {
@@ -107,8 +107,8 @@
         self.now += STEP;
         let due: Vec<_> = {
             let now = self.now;
-            let (due, later) = self.wires.drain(..).partition(|(at, ..)| *at <= now);
-            self.wires = later;
+            let (due, later) = self.in_flight.drain(..).partition(|(at, ..)| *at <= now);
+            self.in_flight = later;
             due
         };
         for (_, to, heartbeat) in due {
@@ -117,7 +117,7 @@
                 let vm = &mut self.vms[to];
                 vm.fleet
                     .apply_heartbeat(self.now, heartbeat, &mut vm.endpoints, &mut out);
-                self.perform(to, out);
+                self.apply_actions(to, out);
             }
         }
         for at in 0..self.vms.len() {
@@ -125,7 +125,7 @@
                 let mut out = Vec::new();
                 let vm = &mut self.vms[at];
                 vm.fleet.tick(self.now, &mut vm.endpoints, &mut out);
-                self.perform(at, out);
+                self.apply_actions(at, out);
             }
         }
     }
@@ -134,7 +134,7 @@
         self.vms[at].up && self.vms[at].paused_until <= self.now
     }
 
-    fn perform(&mut self, from: usize, actions: Vec<Action>) {
+    fn apply_actions(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, heartbeat } => {
@@ -143,8 +143,11 @@
                     let lost = self.rng.random_bool(self.loss) || self.cuts.contains(&(from, to));
                     if !lost {
                         let late = self.rng.random_range(1..150);
-                        self.wires
-                            .push((self.now + Duration::from_millis(late), to, heartbeat));
+                        self.in_flight.push((
+                            self.now + Duration::from_millis(late),
+                            to,
+                            heartbeat,
+                        ));
                     }
                 }
                 Action::FetchConfig { from: peer, .. } => {
@@ -174,7 +177,7 @@
     }
 
     /// Whether `at` counts `other` as alive.
-    fn sees(&self, at: usize, other: usize) -> bool {
+    fn counts_alive(&self, at: usize, other: usize) -> bool {
         let members = &self.vms[at].fleet.members.rows;
         let row = members.get(&self.vms[other].fleet.card.vm);
         row.is_some_and(|row| row.alive(self.now))
@@ -187,7 +190,7 @@
             self.step();
             for at in 0..self.vms.len() {
                 for other in 0..self.vms.len() {
-                    let now = at == other || self.sees(at, other);
+                    let now = at == other || self.counts_alive(at, other);
                     if seen.insert((at, other), now) == Some(true) && !now {
                         self.removals += 1;
                     }
@@ -215,7 +218,7 @@
     world.run_for(Duration::from_secs(5));
     world.vms[3].up = false;
     world.run_for(Duration::from_secs(3));
-    assert!((0..12).all(|at| at == 3 || !world.sees(at, 3)));
+    assert!((0..12).all(|at| at == 3 || !world.counts_alive(at, 3)));
 }
 
 // An endpoint reports that it is leaving to one poller. Within two seconds no VM of its failure
@@ -269,31 +272,31 @@
 // stop.
 #[test]
 fn reused_id() {
-    let own = card(0, 1, 1);
+    let own = status(0, 1, 1);
     let mut members = Members::default();
     let second = Duration::from_secs(1);
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 5), 100),
-        HeartbeatOutcome::Taken
+        members.apply_heartbeat(second, &own, status(1, 1, 5), 100),
+        HeartbeatOutcome::Applied
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 6), 1),
-        HeartbeatOutcome::Taken
+        members.apply_heartbeat(second, &own, status(1, 1, 6), 1),
+        HeartbeatOutcome::Applied
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 5), 101),
+        members.apply_heartbeat(second, &own, status(1, 1, 5), 101),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 6), 1),
+        members.apply_heartbeat(second, &own, status(1, 1, 6), 1),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(0, 1, 2), 1),
+        members.apply_heartbeat(second, &own, status(0, 1, 2), 1),
         HeartbeatOutcome::Superseded
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(0, 1, 0), 1),
+        members.apply_heartbeat(second, &own, status(0, 1, 0), 1),
         HeartbeatOutcome::Stale
     );
 }
--- a/tests/proof_ages.rs
+++ b/tests/proof_ages.rs
@@ -8,12 +8,12 @@
     Duration::from_secs(count)
 }
 
-const ALL: VersionsMatch = VersionsMatch {
+const ALL_MATCH: VersionsMatch = VersionsMatch {
     rules: true,
     endpoints: true,
 };
 
-fn told(rules_ms: u32) -> ConfirmationAges {
+fn rules_age(rules_ms: u32) -> ConfirmationAges {
     ConfirmationAges {
         rules_ms: Some(rules_ms),
         endpoints_ms: None,
@@ -46,9 +46,9 @@
         rules: false,
         endpoints: true,
     };
-    proofs.confirm_by_peer(secs(10), told(100), behind);
+    proofs.confirm_by_peer(secs(10), rules_age(100), behind);
     assert!(!proofs.are_rules_fresh(secs(10)));
-    proofs.confirm_by_peer(secs(10), told(100), ALL);
+    proofs.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
     assert!(proofs.are_rules_fresh(secs(10)));
     assert!(!proofs.are_rules_fresh(secs(12)));
 }
@@ -57,11 +57,11 @@
 #[test]
 fn not_told_on() {
     let mut proofs = Freshness::default();
-    proofs.confirm_by_peer(secs(10), told(100), ALL);
+    proofs.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
     assert_eq!(
         proofs.own_confirmation_ages(secs(10)),
         ConfirmationAges::default()
     );
     proofs.confirm(StoreSubject::Rules, secs(9));
-    assert_eq!(proofs.own_confirmation_ages(secs(10)), told(1000));
+    assert_eq!(proofs.own_confirmation_ages(secs(10)), rules_age(1000));
 }
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -13,7 +13,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-fn beat(owner: u64, sequence: u64) -> Heartbeat {
+fn heartbeat(owner: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         name: "vm-b".into(),
         domain: 1,
@@ -53,7 +53,7 @@
     peers.apply_registrations(ms(0), OWN, &[registered]);
     assert!(peers.is_owner_alive(ms(0), OWN.1, 7));
     assert!(!peers.is_replaced(7));
-    peers.apply_heartbeat(ms(100), address(), &beat(8, 1));
+    peers.apply_heartbeat(ms(100), address(), &heartbeat(8, 1));
     assert!(!peers.is_owner_alive(ms(100), OWN.1, 7));
     assert!(peers.is_replaced(7));
 }
@@ -79,10 +79,10 @@
 #[test]
 fn late_datagram() {
     let mut peers = Peers::default();
-    peers.apply_heartbeat(ms(0), address(), &beat(7, 40));
-    peers.apply_heartbeat(ms(100), address(), &beat(8, 1));
-    peers.apply_heartbeat(ms(110), address(), &beat(7, 41));
-    peers.apply_heartbeat(ms(200), address(), &beat(8, 2));
+    peers.apply_heartbeat(ms(0), address(), &heartbeat(7, 40));
+    peers.apply_heartbeat(ms(100), address(), &heartbeat(8, 1));
+    peers.apply_heartbeat(ms(110), address(), &heartbeat(7, 41));
+    peers.apply_heartbeat(ms(200), address(), &heartbeat(8, 2));
     assert!(peers.is_owner_alive(ms(200), OWN.1, 8));
     assert!(!peers.is_replaced(8));
     assert!(peers.is_replaced(7));
@@ -97,7 +97,7 @@
     let mut said = |at: u64, sequence: u64, store: bool| {
         let beat = Heartbeat {
             store,
-            ..beat(200, sequence)
+            ..heartbeat(200, sequence)
         };
         peers.apply_heartbeat(ms(at), address(), &beat);
         peers.is_store_serving_for(ms(at), ms(1000))
@@ -120,7 +120,7 @@
     let newer = |name: &str, owner| Heartbeat {
         name: name.into(),
         rules: 5,
-        ..beat(owner, 1)
+        ..heartbeat(owner, 1)
     };
     let far = SocketAddr::from(([127, 0, 0, 2], 1));
     peers.apply_heartbeat(ms(0), address(), &newer("vm-b", 7));
