--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -107,11 +107,11 @@
     /// Those of them whose batch process is up.
     batch_vms: Vec<VmId>,
     /// Assigned VM of each endpoint of the local failure domain. Invariant: derived from
-    /// `batching`.
+    /// `batch_vms`.
     assigned_vms: BTreeMap<EndpointId, VmId>,
-    /// Endpoints that this VM polls. Invariant: derived from `working`.
+    /// Endpoints that this VM polls. Invariant: derived from `working_vms`.
     polled_endpoints: Vec<EndpointId>,
-    /// Number of endpoints and configuration version that `homes` and `polls` were derived from.
+    /// Number of endpoints and configuration version that `assigned_vms` and `polled_endpoints` were derived from.
     placement_inputs: (usize, ConfigVersion),
     /// Use by other VMs: requests as last reported, and the time of the report.
     remote_uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
@@ -154,10 +154,10 @@
         let (vm, domain) = (heartbeat.status.vm, heartbeat.status.domain);
         let (config, jobs) = (heartbeat.status.config, heartbeat.status.jobs);
         let from = heartbeat.status.peer_address;
-        let heard =
+        let outcome =
             self.members
                 .apply_heartbeat(now, &self.card, heartbeat.status, heartbeat.sequence);
-        match heard {
+        match outcome {
             HeartbeatOutcome::Stale => return,
             HeartbeatOutcome::Superseded => {
                 out.push(Action::Stop);
@@ -208,8 +208,8 @@
         let Some(endpoint) = endpoints.get_mut(id) else {
             return;
         };
-        let Some(told) = row.report else { return };
-        let news = endpoint.leaving.is_some() != told.leaving;
+        let Some(report) = row.report else { return };
+        let leaving_changed = endpoint.leaving.is_some() != report.leaving;
         let models = endpoint
             .report
             .as_ref()
@@ -218,16 +218,16 @@
         endpoint.apply_report(
             now,
             EndpointReport {
-                incarnation: told.incarnation,
-                running: told.running,
-                waiting: told.waiting,
-                leaving: told.leaving,
+                incarnation: report.incarnation,
+                running: report.running,
+                waiting: report.waiting,
+                leaving: report.leaving,
                 models,
             },
         );
         // Changes from a remote domain are forwarded to the local one; those of the local domain
         // came from it.
-        if news && domain != self.card.domain {
+        if leaving_changed && domain != self.card.domain {
             self.mark_changed(id);
         }
     }
@@ -244,15 +244,15 @@
         let Some(endpoint) = endpoints.get_mut(id) else {
             return;
         };
-        let known = |row: &super::endpoints::Endpoint| {
+        let shared_state = |row: &super::endpoints::Endpoint| {
             (
                 row.leaving,
                 row.report.as_ref().map(|report| report.incarnation),
             )
         };
-        let before = known(endpoint);
+        let before = shared_state(endpoint);
         endpoint.apply_report(now, report);
-        if known(endpoint) != before {
+        if shared_state(endpoint) != before {
             self.mark_changed(id);
         }
     }
@@ -272,11 +272,11 @@
         self.sum_remote_uses(now, endpoints);
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-            let far = now >= self.next_remote_heartbeat && self.is_delegate(now);
-            if far {
+            let to_remote = now >= self.next_remote_heartbeat && self.is_delegate(now);
+            if to_remote {
                 self.next_remote_heartbeat = now + REMOTE_HEARTBEAT_INTERVAL;
             }
-            self.send_heartbeats(now, endpoints, far, out);
+            self.send_heartbeats(now, endpoints, to_remote, out);
         }
         self.poll_endpoints(now, out);
     }
@@ -308,7 +308,7 @@
         &mut self,
         now: Duration,
         endpoints: &Endpoints,
-        far: bool,
+        to_remote: bool,
         out: &mut Vec<Action>,
     ) {
         let rows = self.rows_to_send(endpoints);
@@ -319,8 +319,8 @@
             rows,
         };
         for row in self.members.rows.values() {
-            let near = row.card.domain == self.card.domain;
-            if near || (far && self.is_remote_target(now, row.card.vm, row.card.domain)) {
+            let is_local = row.card.domain == self.card.domain;
+            if is_local || (to_remote && self.is_remote_target(now, row.card.vm, row.card.domain)) {
                 let to = row.card.gossip_address;
                 out.push(Action::Send {
                     to,
@@ -358,8 +358,8 @@
 
     fn rows_to_send(&mut self, endpoints: &Endpoints) -> Vec<UseRow> {
         for endpoint in &endpoints.rows {
-            let told = self.last_sent.get(&endpoint.id);
-            let changed = told.map_or(endpoint.online_here > 0, |row| {
+            let last_sent = self.last_sent.get(&endpoint.id);
+            let changed = last_sent.map_or(endpoint.online_here > 0, |row| {
                 row.online != endpoint.online_here
                     || row.report.as_ref().map(|r| r.leaving)
                         != endpoint.report.as_ref().map(|r| r.leaving)
@@ -404,18 +404,19 @@
 
     /// Assigns endpoints to VMs again when VMs, endpoints or configuration have changed.
     fn update_placement(&mut self, now: Duration, endpoints: &Endpoints) {
-        let (domain, card) = (self.card.domain, &self.card);
-        let mut working = self.members.ranked_for(now, card, domain, 0);
-        working.sort_unstable();
-        let mut batching = self.members.ranked_batch_vms(now, card, 0);
-        batching.sort_unstable();
-        let made_for = (endpoints.rows.len(), card.config);
-        if (&working, &batching, made_for)
+        let (domain, local) = (self.card.domain, &self.card);
+        let mut working_vms = self.members.ranked_for(now, local, domain, 0);
+        working_vms.sort_unstable();
+        let mut batch_vms = self.members.ranked_batch_vms(now, local, 0);
+        batch_vms.sort_unstable();
+        let inputs = (endpoints.rows.len(), local.config);
+        if (&working_vms, &batch_vms, inputs)
             == (&self.working_vms, &self.batch_vms, self.placement_inputs)
         {
             return;
         }
-        (self.working_vms, self.batch_vms, self.placement_inputs) = (working, batching, made_for);
+        (self.working_vms, self.batch_vms, self.placement_inputs) =
+            (working_vms, batch_vms, inputs);
         self.assigned_vms.clear();
         self.polled_endpoints.clear();
         for row in endpoints
@@ -423,8 +424,8 @@
             .iter()
             .filter(|row| row.declared.domain == domain)
         {
-            if let Some(home) = ranked(row.id, self.batch_vms.iter().copied()).first() {
-                self.assigned_vms.insert(row.id, *home);
+            if let Some(vm) = ranked(row.id, self.batch_vms.iter().copied()).first() {
+                self.assigned_vms.insert(row.id, *vm);
             }
             let pollers = ranked(row.id, self.working_vms.iter().copied());
             if pollers
@@ -474,11 +475,11 @@
 
     /// Batch processes of the local domain that are up.
     pub fn batch_owners(&self) -> Vec<OwnerId> {
-        let batch = |vm: &VmId| match *vm == self.card.vm {
+        let owner = |vm: &VmId| match *vm == self.card.vm {
             true => Some(self.card.batch),
             false => self.members.rows.get(vm).map(|row| row.card.batch),
         };
-        self.batch_vms.iter().filter_map(batch).collect()
+        self.batch_vms.iter().filter_map(owner).collect()
     }
 
     /// VMs of the local domain whose batch process is up.
--- a/src/decide/freshness.rs
+++ b/src/decide/freshness.rs
@@ -106,17 +106,17 @@
 }
 
 /// Confirmation age at which a VM asks the store again; `None` for a VM that doesn't refresh for
-/// the others. `place` is its rank among those that do.
-pub fn refresh_after(subject: StoreSubject, place: Option<usize>, large: bool) -> Option<Duration> {
+/// the others. `rank` is its rank among those that do.
+pub fn refresh_after(subject: StoreSubject, rank: Option<usize>, large: bool) -> Option<Duration> {
     if subject == StoreSubject::Live {
         return Some(LIVE_REFRESH_AFTER);
     }
-    let steps = if large {
+    let ages = if large {
         &REFRESH_AFTER_LARGE[..]
     } else {
         &REFRESH_AFTER
     };
-    steps.get(place?).copied()
+    ages.get(rank?).copied()
 }
 
 impl Freshness {
@@ -129,13 +129,22 @@
 
     /// Applies a peer's confirmation ages. They confirm the local view only if its versions are as
     /// new as the peer's.
-    pub fn confirm_by_peer(&mut self, now: Duration, ages: ConfirmationAges, knows: VersionsMatch) {
+    pub fn confirm_by_peer(
+        &mut self,
+        now: Duration,
+        ages: ConfirmationAges,
+        versions_match: VersionsMatch,
+    ) {
         let subjects = [
-            (StoreSubject::Rules, ages.rules_ms, knows.rules),
-            (StoreSubject::Endpoints, ages.endpoints_ms, knows.endpoints),
+            (StoreSubject::Rules, ages.rules_ms, versions_match.rules),
+            (
+                StoreSubject::Endpoints,
+                ages.endpoints_ms,
+                versions_match.endpoints,
+            ),
         ];
-        for (subject, age_ms, known) in subjects {
-            if let (Some(age_ms), true) = (age_ms, known) {
+        for (subject, age_ms, matches) in subjects {
+            if let (Some(age_ms), true) = (age_ms, matches) {
                 self.confirm_by_peer_at(subject, now, Duration::from_millis(age_ms.into()));
             }
         }
@@ -171,10 +180,10 @@
         &self,
         now: Duration,
         subject: StoreSubject,
-        patience: Duration,
+        refresh_after: Duration,
     ) -> Duration {
         let age = self.age(now, subject);
-        age.map_or(Duration::ZERO, |age| patience.saturating_sub(age))
+        age.map_or(Duration::ZERO, |age| refresh_after.saturating_sub(age))
     }
 
     /// Whether the rules are fresh enough that a route which they lack does not exist.
--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -78,24 +78,24 @@
     pub fn apply_heartbeat(
         &mut self,
         now: Duration,
-        own: &VmStatus,
-        card: VmStatus,
+        local: &VmStatus,
+        status: VmStatus,
         sequence: u64,
     ) -> HeartbeatOutcome {
-        if card.vm == own.vm {
-            let later = card.incarnation > own.incarnation;
-            return if later {
+        if status.vm == local.vm {
+            let newer = status.incarnation > local.incarnation;
+            return if newer {
                 HeartbeatOutcome::Superseded
             } else {
                 HeartbeatOutcome::Stale
             };
         }
-        if let Some(row) = self.rows.get_mut(&card.vm) {
+        if let Some(row) = self.rows.get_mut(&status.vm) {
             let known = (row.card.incarnation, row.sequence);
-            if row.heard_at.is_some() && (card.incarnation, sequence) <= known {
+            if row.heard_at.is_some() && (status.incarnation, sequence) <= known {
                 return HeartbeatOutcome::Stale;
             }
-            row.card = card;
+            row.card = status;
             row.sequence = sequence;
             row.heard_at = Some(now);
             return HeartbeatOutcome::Applied;
@@ -104,29 +104,29 @@
             sequence,
             heard_at: Some(now),
             listed: false,
-            card,
+            card: status,
         };
         self.rows.insert(row.card.vm, row);
         HeartbeatOutcome::Applied
     }
 
     /// Applies the platform's list: adds VMs to send to, and removes none whose heartbeats arrive.
-    pub fn apply_vm_list(&mut self, own: &VmStatus, cards: impl IntoIterator<Item = VmStatus>) {
+    pub fn apply_vm_list(&mut self, local: &VmStatus, vms: impl IntoIterator<Item = VmStatus>) {
         self.rows.values_mut().for_each(|row| row.listed = false);
-        for card in cards {
-            if card.vm == own.vm {
+        for status in vms {
+            if status.vm == local.vm {
                 continue;
             }
-            let fresh = || Member {
-                card: card.clone(),
+            let new_member = || Member {
+                card: status.clone(),
                 sequence: 0,
                 heard_at: None,
                 listed: true,
             };
-            let row = self.rows.entry(card.vm).or_insert_with(fresh);
+            let row = self.rows.entry(status.vm).or_insert_with(new_member);
             row.listed = true;
             if row.heard_at.is_none() {
-                row.card = card;
+                row.card = status;
             }
         }
     }
@@ -142,7 +142,7 @@
     pub fn ranked_for(
         &self,
         now: Duration,
-        own: &VmStatus,
+        local: &VmStatus,
         domain: DomainId,
         key: u64,
     ) -> Vec<VmId> {
@@ -151,19 +151,19 @@
             .values()
             .filter(|row| row.card.domain == domain && row.accepts_work(now))
             .map(|row| row.card.vm);
-        let own_id = (own.domain == domain && !own.leaving).then_some(own.vm);
-        ranked(key, others.chain(own_id))
+        let local_vm = (local.domain == domain && !local.leaving).then_some(local.vm);
+        ranked(key, others.chain(local_vm))
     }
 
     /// Like [`Members::ranked_for`], for VMs of the local domain whose batch process is up.
-    pub fn ranked_batch_vms(&self, now: Duration, own: &VmStatus, key: u64) -> Vec<VmId> {
+    pub fn ranked_batch_vms(&self, now: Duration, local: &VmStatus, key: u64) -> Vec<VmId> {
         let others = self
             .rows
             .values()
-            .filter(|row| row.card.domain == own.domain)
+            .filter(|row| row.card.domain == local.domain)
             .filter(|row| row.accepts_work(now) && row.card.batch != 0)
             .map(|row| row.card.vm);
-        let own_id = (own.batch != 0 && !own.leaving).then_some(own.vm);
-        ranked(key, others.chain(own_id))
+        let local_vm = (local.batch != 0 && !local.leaving).then_some(local.vm);
+        ranked(key, others.chain(local_vm))
     }
 }
--- a/src/decide/peers.rs
+++ b/src/decide/peers.rs
@@ -120,7 +120,7 @@
     pub fn apply_registrations(
         &mut self,
         now: Duration,
-        own: (VmId, OwnerId),
+        local: (VmId, OwnerId),
         records: &[VmRecord],
     ) {
         self.rows
@@ -128,8 +128,8 @@
             .for_each(|peer| peer.registered = false);
         for record in records {
             let vm = id::of(&record.name);
-            if vm == own.0 {
-                if record.owner != own.1 {
+            if vm == local.0 {
+                if record.owner != local.1 {
                     self.replaced.insert(record.owner, now);
                 }
                 continue;
@@ -171,44 +171,50 @@
     }
 
     /// Whether a heartbeat of the same process arrived before.
-    pub fn is_known_process(&self, beat: &Heartbeat) -> bool {
-        let known = self.rows.get(&id::of(&beat.name));
-        known.is_some_and(|peer| peer.owner == beat.owner && peer.last_heartbeat_at.is_some())
+    pub fn is_known_process(&self, heartbeat: &Heartbeat) -> bool {
+        let known = self.rows.get(&id::of(&heartbeat.name));
+        known.is_some_and(|peer| peer.owner == heartbeat.owner && peer.last_heartbeat_at.is_some())
     }
 
     /// Applies a heartbeat; false when it is late or duplicate.
-    pub fn apply_heartbeat(&mut self, now: Duration, from: SocketAddr, beat: &Heartbeat) -> bool {
-        let vm = id::of(&beat.name);
+    pub fn apply_heartbeat(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        heartbeat: &Heartbeat,
+    ) -> bool {
+        let vm = id::of(&heartbeat.name);
         let known = self.rows.get(&vm);
-        let stale = known.is_some_and(|p| p.owner == beat.owner && beat.sequence <= p.sequence);
+        let stale =
+            known.is_some_and(|p| p.owner == heartbeat.owner && heartbeat.sequence <= p.sequence);
         if stale {
             return false;
         }
-        if let Some(before) = known.filter(|peer| peer.owner != beat.owner) {
-            self.replaced.insert(before.owner, now);
+        if let Some(previous) = known.filter(|peer| peer.owner != heartbeat.owner) {
+            self.replaced.insert(previous.owner, now);
         }
-        self.replaced.remove(&beat.owner);
-        let spoken = known.filter(|peer| peer.owner == beat.owner && peer.is_alive(now));
-        let store_since = spoken
+        self.replaced.remove(&heartbeat.owner);
+        let alive_before = known.filter(|peer| peer.owner == heartbeat.owner && peer.is_alive(now));
+        let available_since = alive_before
             .and_then(|peer| peer.store_available_since)
             .unwrap_or(now);
         let peer = Peer {
-            domain: beat.domain,
+            domain: heartbeat.domain,
             gossip_address: from,
-            peer_address: Some(SocketAddr::new(from.ip(), beat.peer_port)),
-            owner: beat.owner,
-            sequence: beat.sequence,
+            peer_address: Some(SocketAddr::new(from.ip(), heartbeat.peer_port)),
+            owner: heartbeat.owner,
+            sequence: heartbeat.sequence,
             last_heartbeat_at: Some(now),
             last_seen_at: now,
             registered: known.is_some_and(|peer| peer.registered),
-            draining: beat.draining,
-            store_available: beat.store,
-            store_available_since: beat.store.then_some(store_since),
-            rules: beat.rules,
-            endpoints: beat.endpoints,
-            jobs: beat.jobs,
-            waiting: beat.waiting,
-            backlog: beat.backlog.clone(),
+            draining: heartbeat.draining,
+            store_available: heartbeat.store,
+            store_available_since: heartbeat.store.then_some(available_since),
+            rules: heartbeat.rules,
+            endpoints: heartbeat.endpoints,
+            jobs: heartbeat.jobs,
+            waiting: heartbeat.waiting,
+            backlog: heartbeat.backlog.clone(),
             core_share: known.map_or(0.0, |peer| peer.core_share),
         };
         self.rows.insert(vm, peer);
@@ -216,8 +222,8 @@
     }
 
     /// Whether the process with this owner id is alive, as far as is known here.
-    pub fn is_owner_alive(&self, now: Duration, own: OwnerId, owner: OwnerId) -> bool {
-        owner == own || self.living_owners(now).contains(&owner)
+    pub fn is_owner_alive(&self, now: Duration, local_owner: OwnerId, owner: OwnerId) -> bool {
+        owner == local_owner || self.living_owners(now).contains(&owner)
     }
 
     /// All other processes that are alive, as far as is known here. Callers that check hundreds of
@@ -226,7 +232,7 @@
         let rows = self.rows.values();
         let living = rows.filter(|peer| peer.registered || peer.is_alive(now));
         let unregistered = self.domains.living(now);
-        let unregistered = unregistered.flat_map(|(_, told)| told.unregistered.iter().copied());
+        let unregistered = unregistered.flat_map(|(_, status)| status.unregistered.iter().copied());
         let owners = living.map(|peer| peer.owner).chain(unregistered);
         owners.filter(|owner| *owner != 0).collect()
     }
@@ -243,29 +249,31 @@
     }
 
     /// Rank of this VM among all VMs that accept work, in the order for `key`.
-    pub fn rank(&self, now: Duration, own: VmId, key: u64) -> usize {
+    pub fn rank(&self, now: Duration, local_vm: VmId, key: u64) -> usize {
         let others = self.rows.iter();
-        let working = others.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
-        let vms = working.map(|(vm, _)| *vm).chain([own]);
+        let accepting = others.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
+        let vms = accepting.map(|(vm, _)| *vm).chain([local_vm]);
         let order = ranked(key, vms);
-        order.iter().position(|vm| *vm == own).unwrap_or(0)
+        order.iter().position(|vm| *vm == local_vm).unwrap_or(0)
     }
 
     /// The process that takes over a job from this VM; all VMs choose the same one.
     pub fn successor(&self, now: Duration, key: u64) -> Option<OwnerId> {
         let rows = self.rows.iter();
-        let fit = rows.filter(|(vm, peer)| {
+        let candidates = rows.filter(|(vm, peer)| {
             self.accepts_work(now, **vm, peer) && (peer.store_available || !peer.is_alive(now))
         });
-        let first = ranked(key, fit.map(|(vm, _)| *vm)).first().copied()?;
+        let first = ranked(key, candidates.map(|(vm, _)| *vm))
+            .first()
+            .copied()?;
         self.rows.get(&first).map(|peer| peer.owner)
     }
 
     /// Whether a VM accepts work. It must be alive by heartbeats in a small fleet, registered in a
     /// large one, where most VMs send none to this one.
     fn accepts_work(&self, now: Duration, vm: VmId, peer: &Peer) -> bool {
-        let here = peer.is_alive(now) || (self.is_large() && peer.registered);
-        here && !peer.draining && !self.domains.is_draining(now, vm)
+        let available = peer.is_alive(now) || (self.is_large() && peer.registered);
+        available && !peer.draining && !self.domains.is_draining(now, vm)
     }
 
     /// Whether the fleet is too large for a full mesh, so that VMs send heartbeats to delegates.
@@ -275,14 +283,14 @@
 
     /// Whether a VM receives the heartbeats of its failure domain itself instead of the delegates'
     /// summaries only.
-    pub fn receives_domain_heartbeats(&self, own: VmId, home: DomainId) -> bool {
-        !self.is_large() || self.is_delegate(own) || self.is_domain_meshed(home)
+    pub fn receives_domain_heartbeats(&self, vm: VmId, domain: DomainId) -> bool {
+        !self.is_large() || self.is_delegate(vm) || self.is_domain_meshed(domain)
     }
 
     /// Whether the VMs of a failure domain send heartbeats to each other.
     pub fn is_domain_meshed(&self, domain: DomainId) -> bool {
-        let near = self.rows.values().filter(|peer| peer.domain == domain);
-        !self.is_large() || near.count() < DOMAIN_MESH_PEERS_MAX
+        let domain_peers = self.rows.values().filter(|peer| peer.domain == domain);
+        !self.is_large() || domain_peers.count() < DOMAIN_MESH_PEERS_MAX
     }
 
     /// Whether a VM is a delegate of the local failure domain.
@@ -292,7 +300,7 @@
 
     /// Drops expired VMs and chooses delegates; true when this VM became a delegate or ceased to be
     /// one.
-    pub fn tick(&mut self, now: Duration, own: LocalVm) -> bool {
+    pub fn tick(&mut self, now: Duration, local: LocalVm) -> bool {
         self.rows
             .retain(|_, peer| peer.registered || now < peer.last_seen_at + FORGET_AFTER);
         self.replaced.retain(|_, at| now < *at + FORGET_AFTER);
@@ -300,21 +308,25 @@
         let rows = &self.rows;
         self.delegate_expected_since
             .retain(|vm, _| rows.get(vm).is_some_and(|peer| peer.registered));
-        let before = self.is_delegate(own.vm);
+        let was_delegate = self.is_delegate(local.vm);
         self.delegates = match self.is_large() {
-            true => self.choose_delegates(now, own.domain, Some(own).filter(|own| !own.draining)),
+            true => self.choose_delegates(
+                now,
+                local.domain,
+                Some(local).filter(|local| !local.draining),
+            ),
             false => Vec::new(),
         };
-        let after = self.is_delegate(own.vm);
+        let is_delegate = self.is_delegate(local.vm);
         self.remote_delegates.clear();
-        if after {
+        if is_delegate {
             let domains: HashSet<DomainId> = self.rows.values().map(|peer| peer.domain).collect();
-            for domain in domains.into_iter().filter(|domain| *domain != own.domain) {
+            for domain in domains.into_iter().filter(|domain| *domain != local.domain) {
                 let chosen = self.choose_delegates(now, domain, None);
                 self.remote_delegates.extend(chosen.into_iter().enumerate());
             }
         }
-        before != after
+        was_delegate != is_delegate
     }
 
     /// Peer address of the living process with this owner id.
@@ -330,14 +342,14 @@
     /// Whether a fresh heartbeat of every registered VM has arrived and none reports a newer job
     /// record. Never true in a large fleet, where most VMs send none to this one.
     pub fn all_confirm_jobs(&self, now: Duration, jobs: Revision) -> bool {
-        let told = |peer: &Peer| {
-            let heard = peer
+        let confirms = |peer: &Peer| {
+            let is_fresh = peer
                 .last_heartbeat_at
                 .is_some_and(|at| now < at + FRESH_HEARTBEAT_AGE_MAX);
-            heard && peer.jobs <= jobs
+            is_fresh && peer.jobs <= jobs
         };
         let mut rows = self.rows.values().filter(|peer| peer.registered);
-        rows.clone().next().is_some() && rows.all(told)
+        rows.clone().next().is_some() && rows.all(confirms)
     }
 
     /// Number of other VMs that may admit jobs: those registered or recently alive.
--- a/src/decide/peers/domains.rs
+++ b/src/decide/peers/domains.rs
@@ -50,15 +50,15 @@
     pub fn apply_summary(&mut self, now: Duration, summary: &Summary) -> bool {
         let newest = (summary.sequence, summary.part);
         let known = self.delegates.get(&summary.by);
-        let same = known.filter(|speaker| speaker.owner == summary.owner);
-        if same.is_some_and(|speaker| newest <= speaker.newest) {
+        let same = known.filter(|delegate| delegate.owner == summary.owner);
+        if same.is_some_and(|delegate| newest <= delegate.newest) {
             return false;
         }
-        let since = same.filter(|speaker| is_current(now, speaker.received_at));
+        let since = same.filter(|delegate| is_current(now, delegate.received_at));
         let since = since
-            .and_then(|speaker| speaker.store_available_since)
+            .and_then(|delegate| delegate.store_available_since)
             .unwrap_or(now);
-        let speaker = DelegateStatus {
+        let delegate = DelegateStatus {
             owner: summary.owner,
             newest,
             received_at: now,
@@ -70,7 +70,7 @@
             rules: summary.rules,
             endpoints: summary.endpoints,
         };
-        self.delegates.insert(summary.by, speaker);
+        self.delegates.insert(summary.by, delegate);
         // The first part carries everything but endpoint rows, which `Usage` counts.
         if summary.part == 0 {
             self.rows
@@ -81,8 +81,8 @@
 
     /// Whether a summary of this delegate arrived within the peer timeout.
     pub fn is_delegate_alive(&self, now: Duration, vm: VmId) -> bool {
-        let speaker = self.delegates.get(&vm);
-        speaker.is_some_and(|speaker| is_current(now, speaker.received_at))
+        let delegate = self.delegates.get(&vm);
+        delegate.is_some_and(|delegate| is_current(now, delegate.received_at))
     }
 
     /// Whether a summary of this VM as a delegate is on record.
@@ -92,38 +92,38 @@
 
     /// A delegate that is alive.
     pub fn living_delegate(&self, now: Duration, vm: VmId) -> Option<&DelegateStatus> {
-        let speaker = self.delegates.get(&vm);
-        speaker.filter(|speaker| is_current(now, speaker.received_at))
+        let delegate = self.delegates.get(&vm);
+        delegate.filter(|delegate| is_current(now, delegate.received_at))
     }
 
     /// All delegates that are alive.
     pub fn living_delegates(&self, now: Duration) -> impl Iterator<Item = &DelegateStatus> {
-        let speakers = self.delegates.values();
-        speakers.filter(move |speaker| is_current(now, speaker.received_at))
+        let delegates = self.delegates.values();
+        delegates.filter(move |delegate| is_current(now, delegate.received_at))
     }
 
     /// All failure domains with a current summary.
     pub fn living(&self, now: Duration) -> impl Iterator<Item = (DomainId, &DomainStatus)> {
-        let rows = self.rows.iter().map(|(domain, told)| (*domain, told));
-        rows.filter(move |(_, told)| is_current(now, told.received_at))
+        let rows = self.rows.iter().map(|(domain, status)| (*domain, status));
+        rows.filter(move |(_, status)| is_current(now, status.received_at))
     }
 
     /// The current state of a failure domain.
     pub fn status(&self, now: Duration, domain: DomainId) -> Option<&DomainStatus> {
-        let told = self.rows.get(&domain);
-        told.filter(|told| is_current(now, told.received_at))
+        let status = self.rows.get(&domain);
+        status.filter(|status| is_current(now, status.received_at))
     }
 
     /// Whether a VM is draining, as its delegate reports.
     pub fn is_draining(&self, now: Duration, vm: VmId) -> bool {
         let mut living = self.living(now);
-        living.any(|(_, told)| told.draining_vms.contains(&vm))
+        living.any(|(_, status)| status.draining_vms.contains(&vm))
     }
 
     /// Drops delegates that have long been silent.
     pub fn tick(&mut self, now: Duration) {
-        let keep = |speaker: &DelegateStatus| now < speaker.received_at + FORGET_AFTER;
-        self.delegates.retain(|_, speaker| keep(speaker));
+        let keep = |delegate: &DelegateStatus| now < delegate.received_at + FORGET_AFTER;
+        self.delegates.retain(|_, delegate| keep(delegate));
     }
 }
 
@@ -141,6 +141,6 @@
     }
 }
 
-fn is_current(now: Duration, heard_at: Duration) -> bool {
-    now < heard_at + PEER_TIMEOUT
+fn is_current(now: Duration, received_at: Duration) -> bool {
+    now < received_at + PEER_TIMEOUT
 }
--- a/src/decide/peers/round.rs
+++ b/src/decide/peers/round.rs
@@ -48,34 +48,34 @@
 }
 
 impl SummaryRound {
-    /// Aggregates the domain's state; `own` is the delegate's own heartbeat of this round.
+    /// Aggregates the domain's state; `heartbeat` is the delegate's own in this round.
     pub fn new(
-        own: &Heartbeat,
+        heartbeat: &Heartbeat,
         peer_address: SocketAddr,
-        summed: DomainTotals,
+        totals: DomainTotals,
         uses: DomainUsage,
         counts: DomainCounts,
         endpoints: &Endpoints,
     ) -> SummaryRound {
         let keeps = uses.item_allowances(endpoints);
         let summary = Summary {
-            by: id::of(&own.name),
-            owner: own.owner,
-            domain: own.domain,
-            sequence: own.sequence,
+            by: id::of(&heartbeat.name),
+            owner: heartbeat.owner,
+            domain: heartbeat.domain,
+            sequence: heartbeat.sequence,
             part: 0,
             parts: 1,
             peer_address,
-            draining: own.draining,
-            store: own.store,
-            rules: own.rules,
-            endpoints: own.endpoints,
-            proofs: own.proofs,
-            jobs: summed.jobs,
-            waiting: summed.competing_vms.iter().map(|(_, items)| items).sum(),
-            backlog: truncated(summed.backlog, BACKLOG_MAX),
-            unregistered: truncated(summed.unregistered, UNREGISTERED_MAX),
-            draining_vms: truncated(summed.draining_vms, DRAINING_VMS_MAX),
+            draining: heartbeat.draining,
+            store: heartbeat.store,
+            rules: heartbeat.rules,
+            endpoints: heartbeat.endpoints,
+            proofs: heartbeat.proofs,
+            jobs: totals.jobs,
+            waiting: totals.competing_vms.iter().map(|(_, items)| items).sum(),
+            backlog: truncated(totals.backlog, BACKLOG_MAX),
+            unregistered: truncated(totals.unregistered, UNREGISTERED_MAX),
+            draining_vms: truncated(totals.draining_vms, DRAINING_VMS_MAX),
             competing_vms: Vec::new(),
             keeps: Vec::new(),
             vms: counts.vms,
@@ -89,7 +89,7 @@
             summary,
             uses,
             counts,
-            competing_vms: summed.competing_vms,
+            competing_vms: totals.competing_vms,
             item_allowances: keeps,
         }
     }
@@ -137,17 +137,17 @@
             + first.draining_vms.len()
             + first.backlog.len()
             + first.counts.rows.len();
-        let left = LISTS_BYTES_MAX.saturating_sub(entries * ENTRY_BYTES);
-        let (own, rest) = rows.split_at(rows.len().min(left / ROW_BYTES));
+        let bytes_left = LISTS_BYTES_MAX.saturating_sub(entries * ENTRY_BYTES);
+        let (first_rows, rest) = rows.split_at(rows.len().min(bytes_left / ROW_BYTES));
         let rest = rest.chunks(LISTS_BYTES_MAX / ROW_BYTES);
         let parts = 1 + rest.len() as u8;
         let first = Summary {
             parts,
-            rows: own.to_vec(),
+            rows: first_rows.to_vec(),
             ..first
         };
-        let rest = rest.enumerate().map(|(at, rows)| Summary {
-            part: at as u8 + 1,
+        let rest = rest.enumerate().map(|(index, rows)| Summary {
+            part: index as u8 + 1,
             parts,
             rows: rows.to_vec(),
             backlog: Vec::new(),
--- a/src/decide/peers/speaking.rs
+++ b/src/decide/peers/speaking.rs
@@ -31,7 +31,7 @@
 
 impl Peers {
     /// Delegates of a failure domain: the first VMs in order that are alive as delegates, or have
-    /// been expected to be for less than [`HEARD_LIFE`].
+    /// been expected to be for less than [`PEER_TIMEOUT`].
     ///
     /// Without this, when both delegates die at once, no VM of the domain would receive anything
     /// until their registrations lapse after 3 s. The next ones in order take over after a second
@@ -40,27 +40,30 @@
         &mut self,
         now: Duration,
         domain: DomainId,
-        own: Option<LocalVm>,
+        local: Option<LocalVm>,
     ) -> Vec<VmId> {
         let rows = self.rows.iter().filter(|(vm, peer)| {
             // Living delegates stay when registrations lapse in an outage of the store.
-            let here = peer.registered || self.domains.is_delegate_alive(now, **vm);
-            here && peer.domain == domain && !peer.draining && !self.domains.is_draining(now, **vm)
+            let available = peer.registered || self.domains.is_delegate_alive(now, **vm);
+            available
+                && peer.domain == domain
+                && !peer.draining
+                && !self.domains.is_draining(now, **vm)
         });
         let others = rows.map(|(vm, peer)| Candidate {
             vm: *vm,
             core_share: peer.core_share,
         });
-        let own = own.map(|own| Candidate {
-            vm: own.vm,
-            core_share: own.core_share,
+        let local = local.map(|local| Candidate {
+            vm: local.vm,
+            core_share: local.core_share,
         });
-        let order = delegate_order(domain, others.chain(own));
-        let own = own.map(|own| own.vm);
-        let trusted = order
+        let order = delegate_order(domain, others.chain(local));
+        let local = local.map(|local| local.vm);
+        let presumed_alive = order
             .into_iter()
-            .filter(|vm| Some(*vm) == own || self.is_presumed_alive(now, *vm));
-        trusted.take(DELEGATES_PER_DOMAIN).collect()
+            .filter(|vm| Some(*vm) == local || self.is_presumed_alive(now, *vm));
+        presumed_alive.take(DELEGATES_PER_DOMAIN).collect()
     }
 
     fn is_presumed_alive(&mut self, now: Duration, vm: VmId) -> bool {
@@ -71,21 +74,27 @@
         now < since + PEER_TIMEOUT
     }
 
-    /// Where heartbeats go: to the VMs of the local failure domain (`near`), or to those of the
+    /// Where heartbeats go: to the VMs of the local failure domain (`to_local_domain`), or to those of the
     /// others and the configured addresses whose VMs are not known yet; in a large fleet to the
     /// delegates.
-    pub fn heartbeat_targets(&self, home: DomainId, near: bool) -> Vec<SocketAddr> {
+    pub fn heartbeat_targets(
+        &self,
+        local_domain: DomainId,
+        to_local_domain: bool,
+    ) -> Vec<SocketAddr> {
         let rows = self.rows.values();
         let large = self.is_large();
-        if large && !(near && self.is_domain_meshed(home)) {
-            return match near {
+        if large && !(to_local_domain && self.is_domain_meshed(local_domain)) {
+            return match to_local_domain {
                 true => self.addresses(&self.delegates),
                 false => Vec::new(),
             };
         }
-        let known = rows.clone().filter(|peer| (peer.domain == home) == near);
+        let known = rows
+            .clone()
+            .filter(|peer| (peer.domain == local_domain) == to_local_domain);
         let mut targets: Vec<SocketAddr> = known.map(|peer| peer.gossip_address).collect();
-        if !near {
+        if !to_local_domain {
             let unknown = |seed: &&SocketAddr| !rows.clone().any(|p| p.gossip_address == **seed);
             targets.extend(self.seeds.iter().filter(unknown));
         }
@@ -100,18 +109,26 @@
 
     /// VMs that aggregate the reports on a key: the first one in order of the whole fleet, and the
     /// first one of the local failure domain, since the domain may be cut off.
-    pub fn aggregators(&self, now: Duration, (own, home): (VmId, DomainId), key: u64) -> Vec<VmId> {
+    pub fn aggregators(
+        &self,
+        now: Duration,
+        (local_vm, local_domain): (VmId, DomainId),
+        key: u64,
+    ) -> Vec<VmId> {
         let rows = self.rows.iter();
-        let working = rows.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
-        let working: Vec<(VmId, DomainId)> = working.map(|(vm, peer)| (*vm, peer.domain)).collect();
-        let all = working.iter().map(|(vm, _)| *vm).chain([own]);
-        let near = working.iter().filter(|(_, domain)| *domain == home);
-        let near = near.map(|(vm, _)| *vm).chain([own]);
-        let mut collectors = ranked(key, all);
-        collectors.truncate(1);
-        collectors.extend(ranked(key, near).first());
-        collectors.dedup();
-        collectors
+        let accepting = rows.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
+        let accepting: Vec<(VmId, DomainId)> =
+            accepting.map(|(vm, peer)| (*vm, peer.domain)).collect();
+        let all = accepting.iter().map(|(vm, _)| *vm).chain([local_vm]);
+        let domain_vms = accepting
+            .iter()
+            .filter(|(_, domain)| *domain == local_domain);
+        let domain_vms = domain_vms.map(|(vm, _)| *vm).chain([local_vm]);
+        let mut aggregators = ranked(key, all);
+        aggregators.truncate(1);
+        aggregators.extend(ranked(key, domain_vms).first());
+        aggregators.dedup();
+        aggregators
     }
 
     /// Gossip addresses of all known VMs but this one.
@@ -122,20 +139,20 @@
 
     /// Recipients of a delegate's summaries in its failure domain. They include the other
     /// delegates, which see from them that it is alive.
-    pub fn domain_peers(&self, home: DomainId) -> Vec<(VmId, SocketAddr)> {
-        let rows = self.rows.iter().filter(|(_, peer)| peer.domain == home);
+    pub fn domain_peers(&self, domain: DomainId) -> Vec<(VmId, SocketAddr)> {
+        let rows = self.rows.iter().filter(|(_, peer)| peer.domain == domain);
         rows.map(|(vm, peer)| (*vm, peer.gossip_address)).collect()
     }
 
     /// The processes of the other VMs of a failure domain.
-    pub fn domain_owners(&self, home: DomainId) -> Vec<(VmId, OwnerId)> {
-        let rows = self.rows.iter().filter(|(_, peer)| peer.domain == home);
+    pub fn domain_owners(&self, domain: DomainId) -> Vec<(VmId, OwnerId)> {
+        let rows = self.rows.iter().filter(|(_, peer)| peer.domain == domain);
         rows.map(|(vm, peer)| (*vm, peer.owner)).collect()
     }
 
     /// Whether a delegate sends summaries to its failure domain in this round.
-    pub fn is_domain_round(&self, round: u64, home: DomainId) -> bool {
-        !self.is_domain_meshed(home) || round.is_multiple_of(ROUNDS_PER_MESH_SUMMARY)
+    pub fn is_domain_round(&self, round: u64, domain: DomainId) -> bool {
+        !self.is_domain_meshed(domain) || round.is_multiple_of(ROUNDS_PER_MESH_SUMMARY)
     }
 
     /// Whether a delegate sends summaries to the other failure domains in this round.
@@ -153,66 +170,76 @@
     /// Whether a VM forwards a summary of another failure domain: the first local delegate forwards
     /// those of the first remote one, the second those of the second, so that each summary arrives
     /// once.
-    pub fn forwards_summary(&self, own: VmId, summary: &Summary) -> bool {
-        let place = self.delegates.iter().position(|vm| *vm == own);
-        let by = self
+    pub fn forwards_summary(&self, local_vm: VmId, summary: &Summary) -> bool {
+        let rank = self.delegates.iter().position(|vm| *vm == local_vm);
+        let sender = self
             .remote_delegates
             .iter()
             .find(|(_, vm)| *vm == summary.by);
         // The first delegate forwards those of a sender that is no delegate in this VM's view.
-        place.is_some_and(|place| place == by.map_or(0, |(place, _)| *place))
+        rank.is_some_and(|rank| rank == sender.map_or(0, |(rank, _)| *rank))
     }
 
-    /// This delegate's summary round; `own` is its own heartbeat.
+    /// This delegate's summary round; `heartbeat` is its own.
     pub fn summary_round(
         &self,
         now: Duration,
-        own: &Heartbeat,
+        heartbeat: &Heartbeat,
         peer_address: SocketAddr,
         usage: &Usage,
         counts: DomainCounts,
         endpoints: &Endpoints,
     ) -> SummaryRound {
-        let own_uses = own.rows.iter();
-        let own_uses: EndpointUses = own_uses
+        let local_uses = heartbeat.rows.iter();
+        let local_uses: EndpointUses = local_uses
             .map(|row| (row.endpoint, RemoteUse::from_use(&row.uses)))
             .collect();
-        let members = self.domain_peers(own.domain).into_iter();
-        let said = members.map(|(vm, _)| (vm, usage.uses_of_vm(vm)));
-        let uses = DomainUsage::new(said.chain([(id::of(&own.name), own_uses)]));
-        let summed = self.domain_totals(now, own.domain, own);
-        SummaryRound::new(own, peer_address, summed, uses, counts, endpoints)
+        let peers = self.domain_peers(heartbeat.domain).into_iter();
+        let reported = peers.map(|(vm, _)| (vm, usage.uses_of_vm(vm)));
+        let uses = DomainUsage::new(reported.chain([(id::of(&heartbeat.name), local_uses)]));
+        let totals = self.domain_totals(now, heartbeat.domain, heartbeat);
+        SummaryRound::new(heartbeat, peer_address, totals, uses, counts, endpoints)
     }
 
-    /// Totals of the VMs of the failure domain, for a summary; `own` is this delegate's heartbeat.
-    fn domain_totals(&self, now: Duration, home: DomainId, own: &Heartbeat) -> DomainTotals {
-        let rows = self.rows.iter().filter(|(_, peer)| peer.domain == home);
-        let heard: Vec<(&VmId, &Peer)> = rows.filter(|(_, peer)| peer.is_alive(now)).collect();
-        let peers = || heard.iter().map(|(_, peer)| *peer);
-        let own_vm = id::of(&own.name);
+    /// Totals of the VMs of the failure domain, for a summary; `heartbeat` is this delegate's.
+    fn domain_totals(
+        &self,
+        now: Duration,
+        domain: DomainId,
+        heartbeat: &Heartbeat,
+    ) -> DomainTotals {
+        let rows = self.rows.iter().filter(|(_, peer)| peer.domain == domain);
+        let living: Vec<(&VmId, &Peer)> = rows.filter(|(_, peer)| peer.is_alive(now)).collect();
+        let peers = || living.iter().map(|(_, peer)| *peer);
+        let local_vm = id::of(&heartbeat.name);
         let mut backlog: HashMap<RouteKey, u64> = HashMap::new();
-        for (route, tokens) in peers().flat_map(|peer| &peer.backlog).chain(&own.backlog) {
+        for (route, tokens) in peers()
+            .flat_map(|peer| &peer.backlog)
+            .chain(&heartbeat.backlog)
+        {
             *backlog.entry(*route).or_default() += tokens;
         }
-        let waiting = heard.iter().map(|(vm, peer)| (**vm, peer.waiting));
-        let waiting = waiting.chain([(own_vm, own.waiting)]);
-        let mut rivals: Vec<_> = waiting.filter(|(_, items)| *items > 0).collect();
-        rivals.sort_by_key(|(_, items)| std::cmp::Reverse(*items));
-        let leaving = heard.iter().filter(|(_, peer)| peer.draining);
-        let leaving = leaving.map(|(vm, _)| **vm);
+        let waiting = living.iter().map(|(vm, peer)| (**vm, peer.waiting));
+        let waiting = waiting.chain([(local_vm, heartbeat.waiting)]);
+        let mut competing_vms: Vec<_> = waiting.filter(|(_, items)| *items > 0).collect();
+        competing_vms.sort_by_key(|(_, items)| std::cmp::Reverse(*items));
+        let draining = living.iter().filter(|(_, peer)| peer.draining);
+        let draining = draining.map(|(vm, _)| **vm);
         DomainTotals {
             jobs: peers()
                 .map(|peer| peer.jobs)
                 .max()
                 .unwrap_or(0)
-                .max(own.jobs),
+                .max(heartbeat.jobs),
             backlog: backlog.into_iter().collect(),
             unregistered: peers()
                 .filter(|peer| !peer.registered)
                 .map(|peer| peer.owner)
                 .collect(),
-            draining_vms: leaving.chain(own.draining.then_some(own_vm)).collect(),
-            competing_vms: rivals,
+            draining_vms: draining
+                .chain(heartbeat.draining.then_some(local_vm))
+                .collect(),
+            competing_vms,
         }
     }
 }
--- a/src/decide/peers/uses.rs
+++ b/src/decide/peers/uses.rs
@@ -19,9 +19,9 @@
 
 impl DomainUsage {
     /// Sums the use of all VMs.
-    pub fn new(said: impl IntoIterator<Item = (VmId, EndpointUses)>) -> DomainUsage {
+    pub fn new(reported: impl IntoIterator<Item = (VmId, EndpointUses)>) -> DomainUsage {
         let mut sums = DomainUsage::default();
-        for (vm, uses) in said {
+        for (vm, uses) in reported {
             for (endpoint, one) in &uses {
                 sums.all.entry(*endpoint).or_default().add(one);
             }
@@ -38,11 +38,11 @@
 
     /// The sums over all VMs but one, which adds its own counts.
     pub fn without(&self, vm: VmId) -> EndpointUses {
-        let Some(own) = self.by_vm.get(&vm) else {
+        let Some(vm_uses) = self.by_vm.get(&vm) else {
             return self.all();
         };
         let mut sums = self.all.clone();
-        for (endpoint, one) in own {
+        for (endpoint, one) in vm_uses {
             if let Some(sum) = sums.get_mut(endpoint) {
                 sum.subtract(one);
             }
@@ -57,24 +57,24 @@
     /// all VMs would give up theirs, or none. The delegate has the counts of each VM and computes
     /// the result for all.
     pub fn item_allowances(&self, endpoints: &Endpoints) -> HashMap<VmId, Vec<(EndpointId, u32)>> {
-        let mut keeps: HashMap<VmId, Vec<(EndpointId, u32)>> = HashMap::new();
+        let mut allowances: HashMap<VmId, Vec<(EndpointId, u32)>> = HashMap::new();
         for (id, sum) in &self.all {
             let excess = endpoints.get(*id).map_or(0, |row| excess(row, sum.batch));
             if excess == 0 {
                 continue;
             }
             let users = self.batch_vms(*id);
-            for (at, (vm, batch)) in users.iter().enumerate() {
-                let others: Vec<(VmId, u32)> = users[..at]
+            for (index, (vm, batch)) in users.iter().enumerate() {
+                let others: Vec<(VmId, u32)> = users[..index]
                     .iter()
-                    .chain(&users[at + 1..])
+                    .chain(&users[index + 1..])
                     .copied()
                     .collect();
                 let kept = batch - own_excess(excess, (*vm, *batch), &others);
-                keeps.entry(*vm).or_default().push((*id, kept));
+                allowances.entry(*vm).or_default().push((*id, kept));
             }
         }
-        keeps
+        allowances
     }
 
     fn batch_vms(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
--- a/src/decide/peers/waiting.rs
+++ b/src/decide/peers/waiting.rs
@@ -10,7 +10,12 @@
 impl Peers {
     /// Living VMs with batch items that wait for a slot. A remote failure domain counts as one VM
     /// if only its delegate reports it.
-    pub fn competing_vms(&self, now: Duration, home: DomainId, own: VmId) -> Vec<CompetingVm> {
+    pub fn competing_vms(
+        &self,
+        now: Duration,
+        local_domain: DomainId,
+        local_vm: VmId,
+    ) -> Vec<CompetingVm> {
         let rows = self.rows.iter();
         let heard =
             rows.filter(|(_, peer)| peer.is_alive(now) && peer.waiting > 0 && !peer.draining);
@@ -22,33 +27,36 @@
         if !self.is_large() {
             return heard.collect();
         }
-        let mut rivals: Vec<CompetingVm> = match self.receives_domain_heartbeats(own, home) {
-            true => heard.filter(|rival| rival.domain == home).collect(),
-            false => self.reported_competing_vms(now, home),
-        };
-        let far = self
+        let mut competing: Vec<CompetingVm> =
+            match self.receives_domain_heartbeats(local_vm, local_domain) {
+                true => heard.filter(|other| other.domain == local_domain).collect(),
+                false => self.reported_competing_vms(now, local_domain),
+            };
+        let remote = self
             .domains
             .living(now)
-            .filter(|(domain, _)| *domain != home);
-        let far = far.filter(|(_, told)| told.waiting > 0);
-        rivals.extend(far.map(|(domain, told)| CompetingVm {
+            .filter(|(domain, _)| *domain != local_domain);
+        let remote = remote.filter(|(_, status)| status.waiting > 0);
+        competing.extend(remote.map(|(domain, status)| CompetingVm {
             vm: domain,
             domain,
-            items: told.waiting,
+            items: status.waiting,
         }));
-        rivals
+        competing
     }
 
     /// VMs of a failure domain with waiting items, as its delegate reports.
     fn reported_competing_vms(&self, now: Duration, domain: DomainId) -> Vec<CompetingVm> {
-        let told = self.domains.status(now, domain);
-        let rivals = told.map_or(&[][..], |told| &told.competing_vms).iter();
-        let rival = |(vm, items): &(VmId, u32)| CompetingVm {
+        let status = self.domains.status(now, domain);
+        let competing = status
+            .map_or(&[][..], |status| &status.competing_vms)
+            .iter();
+        let competing_vm = |(vm, items): &(VmId, u32)| CompetingVm {
             vm: *vm,
             domain,
             items: *items,
         };
-        rivals.map(rival).collect()
+        competing.map(competing_vm).collect()
     }
 
     /// Whether waiting work of the process with this owner id is reported, by itself or by its
@@ -57,21 +65,28 @@
         let mut rows = self.rows.values();
         let peer = rows.find(|peer| peer.owner == owner);
         peer.is_some_and(|peer| {
-            let summed = self.is_large() && self.domains.status(now, peer.domain).is_some();
-            peer.is_alive(now) || (summed && peer.registered)
+            let summarized = self.is_large() && self.domains.status(now, peer.domain).is_some();
+            peer.is_alive(now) || (summarized && peer.registered)
         })
     }
 
     /// Tokens that wait on a route at the other living VMs, as last reported.
-    pub fn backlog(&self, now: Duration, route: RouteKey, home: DomainId, own: VmId) -> u64 {
+    pub fn backlog(
+        &self,
+        now: Duration,
+        route: RouteKey,
+        local_domain: DomainId,
+        local_vm: VmId,
+    ) -> u64 {
         let living = self.rows.values().filter(|peer| peer.is_alive(now));
-        let heard = living.flat_map(|peer| &peer.backlog);
-        let heard_home = self.receives_domain_heartbeats(own, home);
-        let told = self.domains.living(now);
-        let told = told.filter(|(domain, _)| *domain != home || !heard_home);
-        let told = told.flat_map(|(_, told)| &told.backlog);
-        heard
-            .chain(told)
+        let from_heartbeats = living.flat_map(|peer| &peer.backlog);
+        let receives_heartbeats = self.receives_domain_heartbeats(local_vm, local_domain);
+        let summaries = self.domains.living(now);
+        let summaries =
+            summaries.filter(|(domain, _)| *domain != local_domain || !receives_heartbeats);
+        let summaries = summaries.flat_map(|(_, status)| &status.backlog);
+        from_heartbeats
+            .chain(summaries)
             .filter(|(of, _)| *of == route)
             .map(|(_, tokens)| tokens)
             .sum()
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -38,7 +38,7 @@
 pub struct Usage {
     /// By VM, or by part of a failure domain's summary.
     reports: HashMap<u64, UseReport>,
-    /// Kept up to date with `rows`: routing and placement read the sum of every endpoint, and
+    /// Kept up to date with `reports`: routing and placement read the sum of every endpoint, and
     /// adding up the counts of 50 VMs at 60 endpoints with each of 500 heartbeats a second took
     /// more time than all requests did.
     sums: HashMap<EndpointId, RemoteUse>,
@@ -113,12 +113,12 @@
         for (endpoint, one) in &uses {
             self.sums.entry(*endpoint).or_default().add(one);
         }
-        let mut touched: Vec<EndpointId> = uses.iter().map(|(endpoint, _)| *endpoint).collect();
-        if let Some(before) = self.reports.insert(source, UseReport { at: now, uses }) {
-            self.subtract_report(&before);
-            touched.extend(before.uses.iter().map(|(endpoint, _)| *endpoint));
+        let mut changed: Vec<EndpointId> = uses.iter().map(|(endpoint, _)| *endpoint).collect();
+        if let Some(previous) = self.reports.insert(source, UseReport { at: now, uses }) {
+            self.subtract_report(&previous);
+            changed.extend(previous.uses.iter().map(|(endpoint, _)| *endpoint));
         }
-        touched
+        changed
     }
 
     /// Like [`Usage::apply_group_report`] for one part of a group's report, under the id `source`;
@@ -132,28 +132,29 @@
         uses: impl IntoIterator<Item = (EndpointId, RemoteUse)>,
     ) -> Vec<EndpointId> {
         let id = |part: u8| weight(source, u64::from(part));
-        let mut touched = self.apply_group_report(now, id(part), uses);
-        let over = (parts..REPORT_PARTS_MAX).filter(|part| self.reports.contains_key(&id(*part)));
-        for part in over.collect::<Vec<u8>>() {
-            touched.extend(self.apply_group_report(now, id(part), []));
+        let mut changed = self.apply_group_report(now, id(part), uses);
+        let dropped =
+            (parts..REPORT_PARTS_MAX).filter(|part| self.reports.contains_key(&id(*part)));
+        for part in dropped.collect::<Vec<u8>>() {
+            changed.extend(self.apply_group_report(now, id(part), []));
         }
-        touched
+        changed
     }
 
     /// Drops expired reports.
     pub fn tick(&mut self, now: Duration) {
-        let old = |said: &UseReport| now >= said.at + USE_EXPIRES_AFTER;
-        let gone = self.reports.iter().filter(|(_, said)| old(said));
-        let gone: Vec<VmId> = gone.map(|(vm, _)| *vm).collect();
-        for vm in gone {
-            if let Some(said) = self.reports.remove(&vm) {
-                self.subtract_report(&said);
+        let expired = |report: &UseReport| now >= report.at + USE_EXPIRES_AFTER;
+        let expired_ids = self.reports.iter().filter(|(_, report)| expired(report));
+        let expired_ids: Vec<VmId> = expired_ids.map(|(source, _)| *source).collect();
+        for source in expired_ids {
+            if let Some(report) = self.reports.remove(&source) {
+                self.subtract_report(&report);
             }
         }
     }
 
-    fn subtract_report(&mut self, said: &UseReport) {
-        for (endpoint, one) in &said.uses {
+    fn subtract_report(&mut self, report: &UseReport) {
+        for (endpoint, one) in &report.uses {
             let Some(sum) = self.sums.get_mut(endpoint) else {
                 continue;
             };
@@ -171,9 +172,9 @@
 
     /// VMs with batch work at an endpoint; a group that is reported as one counts as one.
     pub fn batch_users(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
-        let of = |(vm, said): (&VmId, &UseReport)| {
+        let of = |(vm, report): (&VmId, &UseReport)| {
             let at = |(at, _): &&(EndpointId, RemoteUse)| *at == endpoint;
-            let batch = said.uses.iter().find(at).map_or(0, |(_, one)| one.batch);
+            let batch = report.uses.iter().find(at).map_or(0, |(_, one)| one.batch);
             (batch > 0).then_some((*vm, batch))
         };
         self.reports.iter().filter_map(of).collect()
@@ -181,17 +182,17 @@
 
     /// The use that one VM last reported.
     pub fn uses_of_vm(&self, vm: VmId) -> Vec<(EndpointId, RemoteUse)> {
-        let said = self.reports.get(&vm);
-        said.map_or_else(Vec::new, |said| said.uses.clone())
+        let report = self.reports.get(&vm);
+        report.map_or_else(Vec::new, |report| report.uses.clone())
     }
 
     /// Sets how many items this VM may keep at endpoints over their limit, from its delegate.
     pub fn set_item_allowance(
         &mut self,
         now: Duration,
-        keeps: impl IntoIterator<Item = (EndpointId, u32)>,
+        allowances: impl IntoIterator<Item = (EndpointId, u32)>,
     ) {
-        self.allowances = keeps.into_iter().collect();
+        self.allowances = allowances.into_iter().collect();
         self.allowances_at = now;
     }
 
@@ -202,14 +203,14 @@
     }
 }
 
-/// How many of its `own` items a VM has to give up when all VMs together give up `excess`.
+/// How many of its `local` items a VM has to give up when all VMs together give up `excess`.
 ///
 /// Every VM computes it from the same counts: the VM with the most items gives up one at a time,
 /// the higher id first among equals. Together they give up `excess`, instead of that number each.
-pub fn own_excess(excess: u32, own: (VmId, u32), others: &[(VmId, u32)]) -> u32 {
+pub fn own_excess(excess: u32, local: (VmId, u32), others: &[(VmId, u32)]) -> u32 {
     let mut counts: Vec<(u32, VmId)> = others.iter().map(|(vm, count)| (*count, *vm)).collect();
-    counts.push((own.1, own.0));
-    let mut given = 0;
+    counts.push((local.1, local.0));
+    let mut local_excess = 0;
     for _ in 0..excess {
         let Some(most) = counts.iter_mut().max() else {
             break;
@@ -218,7 +219,7 @@
             break;
         }
         most.0 -= 1;
-        given += u32::from(most.1 == own.0);
+        local_excess += u32::from(most.1 == local.0);
     }
-    given
+    local_excess
 }
