--- a/src/decide/freshness.rs
+++ b/src/decide/freshness.rs
@@ -94,9 +94,9 @@
 /// When the calls were sent that last confirmed a subject.
 #[derive(Debug, Default, Clone, Copy)]
 struct ConfirmedAt {
-    by_store: Option<Duration>,
+    by_local_call: Option<Duration>,
     /// By another VM's calls; late by the transit time of one datagram.
-    by_peer: Option<Duration>,
+    by_peer_call: Option<Duration>,
 }
 
 /// The last confirmation of each subject.
@@ -124,7 +124,7 @@
     /// was applied.
     pub fn confirm(&mut self, subject: StoreSubject, sent_at: Duration) {
         let row = &mut self.confirmed_at[subject as usize];
-        row.by_store = row.by_store.max(Some(sent_at));
+        row.by_local_call = row.by_local_call.max(Some(sent_at));
     }
 
     /// Applies a peer's confirmation ages. They confirm the local view only if its versions are as
@@ -153,13 +153,13 @@
     /// Applies the confirmation age of a VM that this one follows.
     pub fn confirm_by_peer_at(&mut self, subject: StoreSubject, now: Duration, age: Duration) {
         let row = &mut self.confirmed_at[subject as usize];
-        row.by_peer = row.by_peer.max(now.checked_sub(age));
+        row.by_peer_call = row.by_peer_call.max(now.checked_sub(age));
     }
 
     /// Ages of local confirmations, which are sent to the other VMs.
     pub fn own_confirmation_ages(&self, now: Duration) -> ConfirmationAges {
         let age_ms = |subject: StoreSubject| {
-            let age = now.saturating_sub(self.confirmed_at[subject as usize].by_store?);
+            let age = now.saturating_sub(self.confirmed_at[subject as usize].by_local_call?);
             u32::try_from(age.as_millis()).ok()
         };
         ConfirmationAges {
@@ -171,7 +171,7 @@
     /// Age of the last confirmation; `None` if there is none yet.
     pub fn age(&self, now: Duration, subject: StoreSubject) -> Option<Duration> {
         let row = &self.confirmed_at[subject as usize];
-        let at = row.by_store.max(row.by_peer)?;
+        let at = row.by_local_call.max(row.by_peer_call)?;
         Some(now.saturating_sub(at))
     }
 
--- a/src/decide/peers/domains.rs
+++ b/src/decide/peers/domains.rs
@@ -42,7 +42,7 @@
 #[derive(Debug, Default)]
 pub struct Domains {
     delegates: HashMap<VmId, DelegateStatus>,
-    rows: HashMap<DomainId, DomainStatus>,
+    domains: HashMap<DomainId, DomainStatus>,
 }
 
 impl Domains {
@@ -73,7 +73,7 @@
         self.delegates.insert(summary.by, delegate);
         // The first part carries everything but endpoint rows, which `Usage` counts.
         if summary.part == 0 {
-            self.rows
+            self.domains
                 .insert(summary.domain, DomainStatus::new(now, summary));
         }
         true
@@ -104,13 +104,16 @@
 
     /// All failure domains with a current summary.
     pub fn living(&self, now: Duration) -> impl Iterator<Item = (DomainId, &DomainStatus)> {
-        let rows = self.rows.iter().map(|(domain, status)| (*domain, status));
+        let rows = self
+            .domains
+            .iter()
+            .map(|(domain, status)| (*domain, status));
         rows.filter(move |(_, status)| is_current(now, status.received_at))
     }
 
     /// The current state of a failure domain.
     pub fn status(&self, now: Duration, domain: DomainId) -> Option<&DomainStatus> {
-        let status = self.rows.get(&domain);
+        let status = self.domains.get(&domain);
         status.filter(|status| is_current(now, status.received_at))
     }
 
--- a/tests/endpoint_uses.rs
+++ b/tests/endpoint_uses.rs
@@ -18,12 +18,12 @@
 type RandomReport = (u8, u8, Vec<(u16, u16)>);
 
 /// Reference: the sum of each VM's last report.
-fn expected_sum(said: &[UseReport], now: Duration, endpoint: u64) -> RemoteUse {
+fn expected_sum(reports: &[UseReport], now: Duration, endpoint: u64) -> RemoteUse {
     let mut sum = RemoteUse::default();
     for vm in 0..4 {
-        let last = said.iter().rev().find(|word| word.vm == vm);
-        let lives = last.filter(|word| now < word.at + USE_EXPIRES_AFTER);
-        let uses = lives.into_iter().flat_map(|word| &word.uses);
+        let last = reports.iter().rev().find(|report| report.vm == vm);
+        let current = last.filter(|report| now < report.at + USE_EXPIRES_AFTER);
+        let uses = current.into_iter().flat_map(|report| &report.uses);
         for (_, one) in uses.filter(|(at, _)| *at == endpoint) {
             sum.online += u32::from(one.online);
             sum.batch += u32::from(one.batch);
@@ -37,11 +37,11 @@
 // Guards against running sums that drift from the VMs' last reports as reports are replaced, lapse
 // and come again: slots would be granted twice, or reserved for no VM.
 quickcheck! {
-    fn sums_hold(words: Vec<RandomReport>) -> bool {
+    fn sums_hold(random_reports: Vec<RandomReport>) -> bool {
         let mut usage = Usage::default();
-        let mut said = Vec::new();
+        let mut reports = Vec::new();
         let mut now = Duration::ZERO;
-        for (pause, vm, counts) in words {
+        for (pause, vm, counts) in random_reports {
             now += Duration::from_millis(u64::from(pause) * 8);
             let uses = counts.iter().take(ENDPOINTS as usize).enumerate();
             let uses: Vec<(u64, EndpointUse)> = uses
@@ -52,9 +52,9 @@
                 .collect();
             usage.tick(now);
             usage.apply_report(now, u64::from(vm % 4), uses.clone());
-            said.push(UseReport { at: now, vm: u64::from(vm % 4), uses });
-            let holds = |at| usage.of(at) == expected_sum(&said, now, at);
-            if !(0..ENDPOINTS).all(holds) {
+            reports.push(UseReport { at: now, vm: u64::from(vm % 4), uses });
+            let sum_matches = |at| usage.of(at) == expected_sum(&reports, now, at);
+            if !(0..ENDPOINTS).all(sum_matches) {
                 return false;
             }
         }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -176,9 +176,13 @@
     }
 
     /// Runs the simulation for `time`, or until `holds` returns true; returns the time that took.
-    fn run(&mut self, time: Duration, mut holds: impl FnMut(&Fleet) -> bool) -> Option<Duration> {
+    fn run(
+        &mut self,
+        duration: Duration,
+        mut holds: impl FnMut(&Fleet) -> bool,
+    ) -> Option<Duration> {
         let start = self.now;
-        while self.now < start + time {
+        while self.now < start + duration {
             if holds(self) {
                 return Some(self.now - start);
             }
@@ -194,8 +198,8 @@
             if self.vms[to].dead {
                 continue;
             }
-            for (next, summary) in self.vms[to].take(now, from, datagram) {
-                self.send(to, next, Datagram::Summary(summary));
+            for (target, summary) in self.vms[to].receive(now, from, datagram) {
+                self.send(to, target, Datagram::Summary(summary));
             }
         }
         for at in 0..self.vms.len() {
@@ -212,12 +216,12 @@
             vm.refresh_from_store(now, own, self.newest_rules);
             // Spreads the VMs over different steps.
             let phase = STEP * (at as u32 % 5);
-            let large = !self.vms[at]
+            let sends_to_delegates = !self.vms[at]
                 .peers
                 .is_domain_meshed(self.vms[at].record.domain);
             if is_due(
                 now,
-                if large {
+                if sends_to_delegates {
                     HEARTBEAT_INTERVAL_LARGE
                 } else {
                     HEARTBEAT_INTERVAL
@@ -232,15 +236,15 @@
         }
     }
 
-    fn send_heartbeat(&mut self, at: usize, far: bool) {
-        let beat = self.vms[at].next_heartbeat(self.now);
+    fn send_heartbeat(&mut self, at: usize, to_remote: bool) {
+        let heartbeat = self.vms[at].next_heartbeat(self.now);
         let domain = self.vms[at].record.domain;
         let mut targets = self.vms[at].peers.heartbeat_targets(domain, true);
-        if far {
+        if to_remote {
             targets.extend(self.vms[at].peers.heartbeat_targets(domain, false));
         }
         for to in targets {
-            self.send(at, to, Datagram::Heartbeat(beat.clone()));
+            self.send(at, to, Datagram::Heartbeat(heartbeat.clone()));
         }
     }
 
@@ -248,27 +252,27 @@
         let now = self.now;
         let vm = &mut self.vms[at];
         vm.rounds += 1;
-        let (rounds, home) = (vm.rounds, vm.record.domain);
-        let own = vm.next_heartbeat(now);
-        let members = vm.peers.domain_peers(home);
+        let (rounds, local_domain) = (vm.rounds, vm.record.domain);
+        let heartbeat = vm.next_heartbeat(now);
+        let peers = vm.peers.domain_peers(local_domain);
         let address = vm.record.gossip_address;
         let round = vm.peers.summary_round(
             now,
-            &own,
+            &heartbeat,
             address,
             &vm.usage,
             DomainCounts::default(),
             &Endpoints::default(),
         );
-        let far = vm.peers.remote_delegate_addresses();
-        let is_far = vm.peers.is_remote_round(rounds);
-        let near = vm.peers.is_domain_round(rounds, home);
-        for (member, to) in members.into_iter().filter(|_| near) {
-            for summary in round.for_member(member) {
+        let remote_targets = vm.peers.remote_delegate_addresses();
+        let is_remote_round = vm.peers.is_remote_round(rounds);
+        let is_domain_round = vm.peers.is_domain_round(rounds, local_domain);
+        for (peer, to) in peers.into_iter().filter(|_| is_domain_round) {
+            for summary in round.for_member(peer) {
                 self.send(at, to, Datagram::Summary(summary));
             }
         }
-        for to in far.into_iter().filter(|_| is_far) {
+        for to in remote_targets.into_iter().filter(|_| is_remote_round) {
             for summary in round.for_delegates() {
                 self.send(at, to, Datagram::Summary(summary));
             }
@@ -284,11 +288,15 @@
     }
 
     fn delegates(&self, domain: u64) -> Vec<usize> {
-        let of = |(at, vm): (usize, &Vm)| {
-            let is = vm.record.domain == domain && vm.peers.is_delegate(vm.id());
-            is.then_some(at)
+        let delegate_index = |(at, vm): (usize, &Vm)| {
+            let is_delegate = vm.record.domain == domain && vm.peers.is_delegate(vm.id());
+            is_delegate.then_some(at)
         };
-        self.vms.iter().enumerate().filter_map(of).collect()
+        self.vms
+            .iter()
+            .enumerate()
+            .filter_map(delegate_index)
+            .collect()
     }
 }
 
@@ -301,12 +309,12 @@
     }
 
     /// Asks the store for rules and endpoints when this VM's rank makes it due.
-    fn refresh_from_store(&mut self, now: Duration, own: LocalVm, newest_rules: u64) {
-        let place = self.peers.refresh_rank(now, own);
+    fn refresh_from_store(&mut self, now: Duration, local: LocalVm, newest_rules: u64) {
+        let rank = self.peers.refresh_rank(now, local);
         for subject in [StoreSubject::Rules, StoreSubject::Endpoints] {
-            let patience = freshness::refresh_after(subject, place, self.peers.is_large());
-            let due =
-                patience.is_some_and(|p| self.freshness.refresh_due_in(now, subject, p).is_zero());
+            let refresh_after = freshness::refresh_after(subject, rank, self.peers.is_large());
+            let due = refresh_after
+                .is_some_and(|age| self.freshness.refresh_due_in(now, subject, age).is_zero());
             if !due {
                 continue;
             }
@@ -341,7 +349,7 @@
     }
 
     /// Applies a datagram, and returns the summaries to forward and their targets.
-    fn take(
+    fn receive(
         &mut self,
         now: Duration,
         from: SocketAddr,
@@ -375,10 +383,11 @@
         if summary.by == self.id() || !self.peers.domains.apply_summary(now, &summary) {
             return Vec::new();
         }
-        let knows = self.versions_match(summary.rules);
-        self.freshness.confirm_by_peer(now, summary.proofs, knows);
-        let near = summary.domain == self.record.domain;
-        if near
+        let versions_match = self.versions_match(summary.rules);
+        self.freshness
+            .confirm_by_peer(now, summary.proofs, versions_match);
+        let is_local = summary.domain == self.record.domain;
+        if is_local
             && self
                 .peers
                 .receives_domain_heartbeats(self.id(), self.record.domain)
@@ -388,11 +397,11 @@
         let part = (summary.part, summary.parts);
         self.usage
             .apply_group_part(now, summary.domain, part, summary.rows.clone());
-        if near || !self.peers.forwards_summary(self.id(), &summary) {
+        if is_local || !self.peers.forwards_summary(self.id(), &summary) {
             return Vec::new();
         }
-        let members = self.peers.domain_peers(self.record.domain).into_iter();
-        members.map(|(_, to)| (to, summary.clone())).collect()
+        let peers = self.peers.domain_peers(self.record.domain).into_iter();
+        peers.map(|(_, to)| (to, summary.clone())).collect()
     }
 }
 
@@ -415,15 +424,15 @@
     for vm in &mut fleet.vms {
         (vm.received, vm.received_bytes, vm.sent) = (0, 0, 0);
     }
-    let time = Duration::from_secs(3);
-    fleet.run(time, |_| false);
-    let count = fleet.vms.len() as f64 * time.as_secs_f64();
+    let duration = Duration::from_secs(3);
+    fleet.run(duration, |_| false);
+    let count = fleet.vms.len() as f64 * duration.as_secs_f64();
     let sum = |of: fn(&Vm) -> u64| fleet.vms.iter().map(of).sum::<u64>() as f64;
-    let most = fleet.vms.iter().map(|vm| vm.sent).max().unwrap_or(0) as f64;
+    let busiest = fleet.vms.iter().map(|vm| vm.sent).max().unwrap_or(0) as f64;
     (
         sum(|vm| vm.received_bytes) / count,
         sum(|vm| vm.received) / count,
-        most / time.as_secs_f64(),
+        busiest / duration.as_secs_f64(),
     )
 }
 
@@ -463,8 +472,8 @@
         let mut fleet = Fleet::new(vms, domains);
         let first = fleet.delegates(1).first().copied().unwrap_or(0);
         fleet.vms[first].rules = NEW_RULES;
-        let all = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.rules == NEW_RULES);
-        let took = fleet.run(Duration::from_secs(4), all);
+        let all_updated = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.rules == NEW_RULES);
+        let took = fleet.run(Duration::from_secs(4), all_updated);
         println!("{vms} VMs: {took:?}");
         let bound = Duration::from_millis(1800);
         assert!(took.is_some_and(|took| took <= bound), "{vms}: {took:?}");
@@ -477,28 +486,31 @@
 fn uses_known() {
     for (vms, domains) in FLEET_SIZES {
         let mut fleet = Fleet::new(vms, domains);
-        let user = vms - 1;
-        let (home, endpoint) = (fleet.vms[user].record.domain, fleet.vms[user].endpoint());
+        let vm_index = vms - 1;
+        let (local_domain, endpoint) = (
+            fleet.vms[vm_index].record.domain,
+            fleet.vms[vm_index].endpoint(),
+        );
         let users = |fleet: &Fleet, vm: &Vm| {
-            let of = |other: &&Vm| {
-                let uses = (0..ENDPOINTS_PER_VM).any(|step| {
+            let uses_endpoint = |other: &&Vm| {
+                let uses_it = (0..ENDPOINTS_PER_VM).any(|step| {
                     endpoint % 1_000_000 == (other.record.owner + step * 7) % ENDPOINTS
                 });
-                uses && other.record.domain == home && other.id() != vm.id()
+                uses_it && other.record.domain == local_domain && other.id() != vm.id()
             };
-            fleet.vms.iter().filter(of).count() as u32
+            fleet.vms.iter().filter(uses_endpoint).count() as u32
         };
-        let known = |fleet: &Fleet, near: bool| {
-            let mut fitting = fleet
+        let known = |fleet: &Fleet, is_local: bool| {
+            let mut selected = fleet
                 .vms
                 .iter()
-                .filter(|vm| (vm.record.domain == home) == near);
-            fitting.all(|vm| vm.usage.of(endpoint).online == users(fleet, vm))
+                .filter(|vm| (vm.record.domain == local_domain) == is_local);
+            selected.all(|vm| vm.usage.of(endpoint).online == users(fleet, vm))
         };
-        assert!(known(&fleet, true), "{vms}: near");
-        assert!(known(&fleet, false), "{vms}: far");
+        assert!(known(&fleet, true), "{vms}: local");
+        assert!(known(&fleet, false), "{vms}: remote");
         // The use by a VM that dies is counted until its reports expire, and no longer.
-        fleet.vms[user].dead = true;
+        fleet.vms[vm_index].dead = true;
         fleet.run(Duration::from_millis(3200), |_| false);
         for vm in fleet.vms.iter().filter(|vm| !vm.dead) {
             assert_eq!(vm.usage.of(endpoint).online, users(&fleet, vm) - 1, "{vms}");
@@ -519,23 +531,23 @@
             fleet.vms[at].dead = true;
             fleet.vms[at].rules = NEW_RULES;
         }
-        let spoken = |fleet: &Fleet| {
+        let all_updated = |fleet: &Fleet| {
             let vms = fleet
                 .vms
                 .iter()
                 .filter(|vm| !vm.dead && vm.record.domain == 1);
-            let hears = |vm: &Vm| {
-                let own = vm.local_vm();
-                vm.peers.is_delegate(own.vm) || vm.peers.is_updated_by_delegate(fleet.now, own)
+            let is_updated = |vm: &Vm| {
+                let local = vm.local_vm();
+                vm.peers.is_delegate(local.vm) || vm.peers.is_updated_by_delegate(fleet.now, local)
             };
             let living = fleet
                 .delegates(1)
                 .iter()
                 .filter(|at| !fleet.vms[**at].dead)
                 .count();
-            living >= 2 && vms.into_iter().all(hears)
+            living >= 2 && vms.into_iter().all(is_updated)
         };
-        let took = fleet.run(Duration::from_secs(4), spoken);
+        let took = fleet.run(Duration::from_secs(4), all_updated);
         println!("{vms} VMs: {took:?}");
         assert!(
             took.is_some_and(|took| took <= Duration::from_millis(2300)),
@@ -552,12 +564,12 @@
     let mut fleet = Fleet::new(250, 5);
     fleet.vms.iter_mut().for_each(|vm| vm.store = false);
     fleet.run(Duration::from_secs(3), |_| false);
-    let at_the_store = |vm: &&Vm| {
-        let own = vm.local_vm();
-        vm.peers.watching_vm(fleet.now, own).is_none()
-            || !vm.peers.is_updated_by_delegate(fleet.now, own)
+    let calls_store = |vm: &&Vm| {
+        let local = vm.local_vm();
+        vm.peers.watching_vm(fleet.now, local).is_none()
+            || !vm.peers.is_updated_by_delegate(fleet.now, local)
     };
-    assert_eq!(fleet.vms.iter().filter(at_the_store).count(), 10);
+    assert_eq!(fleet.vms.iter().filter(calls_store).count(), 10);
 }
 
 // An outage of the store ends in which all registrations have lapsed. The delegates go on sending,
@@ -571,18 +583,20 @@
         assert_eq!(fleet.delegates(domain).len(), 2);
     }
     for vm in &fleet.vms {
-        let own = vm.local_vm();
-        assert!(vm.peers.is_delegate(own.vm) || vm.peers.is_updated_by_delegate(fleet.now, own));
+        let local = vm.local_vm();
+        assert!(
+            vm.peers.is_delegate(local.vm) || vm.peers.is_updated_by_delegate(fleet.now, local)
+        );
     }
     let owners: Vec<u64> = fleet.vms.iter().map(|vm| vm.record.owner).collect();
-    let known = |vm: &Vm| {
+    let known_living = |vm: &Vm| {
         let living = vm.peers.living_owners(fleet.now);
         let others = owners.iter().filter(|owner| **owner != vm.record.owner);
         others.filter(|owner| living.contains(owner)).count()
     };
-    let least = fleet.vms.iter().map(known).min().unwrap();
-    println!("{least} of 249 known to live");
-    assert!(least >= 235, "{least}");
+    let fewest_known = fleet.vms.iter().map(known_living).min().unwrap();
+    println!("{fewest_known} of 249 known to be alive");
+    assert!(fewest_known >= 235, "{fewest_known}");
 }
 
 // The second part of a longer report is dropped when a shorter report follows.
@@ -614,16 +628,16 @@
     }
     fleet.run(Duration::from_millis(2000), |_| false);
     for vm in &fleet.vms {
-        let asked = vm
+        let address = vm
             .peers
             .newer_peers(fleet.now, vm.record.domain, versions_with_rules(1), |_| {
                 true
             })
             .rules
             .unwrap();
-        let of = |other: &&Vm| other.record.gossip_address.ip() == asked.ip();
-        let asked = fleet.vms.iter().find(of).unwrap();
-        assert_eq!(asked.record.domain, vm.record.domain);
+        let has_address = |other: &&Vm| other.record.gossip_address.ip() == address.ip();
+        let provider = fleet.vms.iter().find(has_address).unwrap();
+        assert_eq!(provider.record.domain, vm.record.domain);
     }
 }
 
@@ -658,8 +672,8 @@
         let row = &mut endpoints.rows[0];
         (row.batch, row.online_elsewhere) = (sum, u32::from(online % 10));
         let id = row.id;
-        let over = (row.online() + sum).saturating_sub(slots as u32);
-        let excess = over.min(sum);
+        let over_limit = (row.online() + sum).saturating_sub(slots as u32);
+        let excess = over_limit.min(sum);
         let uses = batch.iter().enumerate().map(|(vm, count)| {
             let one = RemoteUse {
                 batch: *count,
@@ -667,11 +681,15 @@
             };
             (vm as u64 + 1, vec![(id, one)])
         });
-        let keeps = DomainUsage::new(uses).item_allowances(&endpoints);
-        let kept: u32 = keeps.values().flatten().map(|(_, kept)| kept).sum();
+        let allowances = DomainUsage::new(uses).item_allowances(&endpoints);
+        let allowed: u32 = allowances
+            .values()
+            .flatten()
+            .map(|(_, allowed)| allowed)
+            .sum();
         match excess {
-            0 => keeps.is_empty(),
-            _ => kept == sum - excess,
+            0 => allowances.is_empty(),
+            _ => allowed == sum - excess,
         }
     }
     quickcheck(holds as fn(Vec<u8>, u8) -> bool);
@@ -688,15 +706,15 @@
     for (vms, domains) in DEPLOYED_FLEETS {
         let mut fleet = Fleet::new(vms, domains);
         fleet.vms.iter_mut().for_each(|vm| vm.refresh_calls = 0);
-        let time = Duration::from_secs(10);
-        fleet.run(time, |_| false);
+        let duration = Duration::from_secs(10);
+        fleet.run(duration, |_| false);
         let calls: u64 = fleet.vms.iter().map(|vm| vm.refresh_calls).sum();
-        let a_second = calls as f64 / time.as_secs_f64();
-        println!("{vms} VMs, {domains} domains: {a_second:.1} calls a second");
+        let calls_per_s = calls as f64 / duration.as_secs_f64();
+        println!("{vms} VMs, {domains} domains: {calls_per_s:.1} calls a second");
         // Two subjects, each asked for every 0.6 s by one VM, or every second in a fleet of
         // hundreds.
-        let most = if vms <= 64 { 3.4 } else { 2.0 };
-        assert!(a_second <= most * 1.1, "{vms}: {a_second}");
+        let calls_per_s_max = if vms <= 64 { 3.4 } else { 2.0 };
+        assert!(calls_per_s <= calls_per_s_max * 1.1, "{vms}: {calls_per_s}");
     }
 }
 
@@ -713,15 +731,16 @@
     for (vms, domains) in DEPLOYED_FLEETS {
         for (dead, unanswered) in [(0, 0), (1, 0), (0, 1)] {
             let mut fleet = Fleet::new(vms, domains);
-            let mut first = refreshing_vms(&fleet);
-            first.truncate(dead + unanswered);
-            for (place, at) in first.into_iter().enumerate() {
-                fleet.vms[at].dead = place < dead;
-                fleet.vms[at].unanswered = place >= dead;
+            let mut first_ranked = refreshing_vms(&fleet);
+            first_ranked.truncate(dead + unanswered);
+            for (rank, at) in first_ranked.into_iter().enumerate() {
+                fleet.vms[at].dead = rank < dead;
+                fleet.vms[at].unanswered = rank >= dead;
             }
             fleet.newest_rules = NEW_RULES;
-            let all = |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.dead || vm.rules == NEW_RULES);
-            let took = fleet.run(rules_time_max(vms), all);
+            let all_updated =
+                |fleet: &Fleet| fleet.vms.iter().all(|vm| vm.dead || vm.rules == NEW_RULES);
+            let took = fleet.run(rules_time_max(vms), all_updated);
             println!("{vms} VMs, {dead} dead, {unanswered} unanswered: {took:?}");
             assert!(
                 took.is_some(),
@@ -733,15 +752,15 @@
 
 /// VMs that refresh from the store for the others, by rank.
 fn refreshing_vms(fleet: &Fleet) -> Vec<usize> {
-    let place = |vm: &Vm| vm.peers.refresh_rank(fleet.now, vm.local_vm());
-    let mut places: Vec<(usize, usize)> = fleet
+    let rank = |vm: &Vm| vm.peers.refresh_rank(fleet.now, vm.local_vm());
+    let mut ranks: Vec<(usize, usize)> = fleet
         .vms
         .iter()
         .enumerate()
-        .filter_map(|(at, vm)| Some((place(vm)?, at)))
+        .filter_map(|(at, vm)| Some((rank(vm)?, at)))
         .collect();
-    places.sort();
-    places.into_iter().map(|(_, at)| at).collect()
+    ranks.sort();
+    ranks.into_iter().map(|(_, at)| at).collect()
 }
 
 // While the store answers, no VM's confirmation gets old, and none seems younger than it is: only
@@ -758,16 +777,22 @@
                 .map(|vm| vm.freshness.age(fleet.now, StoreSubject::Rules));
             ages.map(|age| age.unwrap_or(Duration::MAX)).max().unwrap()
         };
-        let old = |fleet: &Fleet| oldest(fleet) >= Duration::from_millis(1800);
-        assert!(fleet.run(Duration::from_secs(5), old).is_none(), "{vms}");
+        let is_stale = |fleet: &Fleet| oldest(fleet) >= Duration::from_millis(1800);
+        assert!(
+            fleet.run(Duration::from_secs(5), is_stale).is_none(),
+            "{vms}"
+        );
         // From here on the store answers no VM.
         fleet.vms.iter_mut().for_each(|vm| vm.unanswered = true);
-        let silent_at = fleet.now;
+        let unanswered_since = fleet.now;
         fleet.run(Duration::from_secs(5), |_| false);
-        let passed = fleet.now - silent_at;
+        let elapsed = fleet.now - unanswered_since;
         for vm in &fleet.vms {
             let age = vm.freshness.age(fleet.now, StoreSubject::Rules).unwrap();
-            assert!(age >= passed - STEP * 2, "{vms}: {age:?} after {passed:?}");
+            assert!(
+                age >= elapsed - STEP * 2,
+                "{vms}: {age:?} after {elapsed:?}"
+            );
         }
     }
 }
@@ -784,7 +809,7 @@
         fleet.run(Duration::from_secs(10), |_| false);
         let calls: u64 = fleet.vms.iter().map(|vm| vm.refresh_calls).sum();
         println!("{vms} VMs: {calls} calls");
-        let asking = if vms <= 64 { vms as u64 } else { 4 * domains };
-        assert!(calls <= 2 * asking, "{vms}: {calls} calls");
+        let asking_vms = if vms <= 64 { vms as u64 } else { 4 * domains };
+        assert!(calls <= 2 * asking_vms, "{vms}: {calls} calls");
     }
 }
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -42,8 +42,8 @@
 impl Engine {
     /// Admits a request; returns how long it waits for its slot.
     fn admit(&mut self, now: u64, vm: usize) -> u64 {
-        let here = self.requests.iter().filter(|request| request.ends > now);
-        let mut busy: Vec<u64> = here.map(|request| request.ends).collect();
+        let running = self.requests.iter().filter(|request| request.ends > now);
+        let mut busy: Vec<u64> = running.map(|request| request.ends).collect();
         busy.sort_unstable_by(|a, b| b.cmp(a));
         let starts = busy.get(SLOTS - 1).copied().unwrap_or(now);
         let ends = starts + SLOT_HOLD_MS;
@@ -56,33 +56,33 @@
     }
 
     /// Requests that were there at `heard` and have not ended by then.
-    fn online(&self, heard: u64, fits: impl Fn(usize) -> bool) -> u32 {
-        let there =
-            |request: &&Request| request.sent <= heard && request.ends > heard && fits(request.vm);
-        self.requests.iter().filter(there).count() as u32
+    fn online(&self, at: u64, is_counted: impl Fn(usize) -> bool) -> u32 {
+        let counted =
+            |request: &&Request| request.sent <= at && request.ends > at && is_counted(request.vm);
+        self.requests.iter().filter(counted).count() as u32
     }
 }
 
 /// Share of a burst's requests that start in time.
-fn in_time_share(late_news: bool, seed: u64) -> f64 {
+fn in_time_share(counts_lag: bool, seed: u64) -> f64 {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut engines = vec![Engine::default(); ENDPOINTS];
     let table = || {
         let mut table = Endpoints::default();
-        table.counts_lag = late_news;
+        table.counts_lag = counts_lag;
         table.configure(declared(ENDPOINTS, SERVICE, SLOTS as f64, |_| LOCAL_DOMAIN));
         table
     };
     let mut tables: Vec<Endpoints> = (0..VMS).map(|_| table()).collect();
-    let (mut asked, mut started) = (0, 0);
+    let (mut requests, mut started) = (0, 0);
     for now in 0..BURST_DURATION_MS {
         for (vm, table) in tables.iter_mut().enumerate() {
             for (engine, row) in engines.iter().zip(&mut table.rows) {
                 row.online_here = engine.online(now, |of| of == vm);
                 // A summary round of a delegate, with the counts that it received by then.
                 if now.is_multiple_of(SUMMARY_INTERVAL_MS) {
-                    let heard = now.saturating_sub(HEARTBEAT_DELAY_MS);
-                    row.online_elsewhere = engine.online(heard, |of| of != vm);
+                    let reported_at = now.saturating_sub(HEARTBEAT_DELAY_MS);
+                    row.online_elsewhere = engine.online(reported_at, |of| of != vm);
                     row.remote_vms = row.online_elsewhere;
                 }
             }
@@ -91,27 +91,27 @@
             continue;
         }
         let vm = rng.random_range(0..VMS);
-        let ask = RouteQuery {
+        let query = RouteQuery {
             service: SERVICE,
             prefix: 0,
             avoid: None,
         };
-        asked += 1;
+        requests += 1;
         let policy = Policy::TwoChoices;
-        let found = choose(
+        let choice = choose(
             &tables[vm],
             LOCAL_DOMAIN,
-            ask,
+            query,
             policy,
             Duration::from_millis(now),
             &mut rng,
         );
-        if let Ok(id) = found {
+        if let Ok(id) = choice {
             let at = tables[vm].rows.iter().position(|row| row.id == id).unwrap();
             started += u64::from(engines[at].admit(now, vm) <= FIRST_TOKEN_GOAL_MS);
         }
     }
-    started as f64 / asked as f64
+    started as f64 / requests as f64
 }
 
 // Guards against requests that wait half a second although other engines have free slots: few
@@ -119,9 +119,9 @@
 // by load among all local engines spreads the requests.
 #[test]
 fn news_is_late() {
-    let mean = |late_news| {
+    let mean = |counts_lag| {
         (1..=5)
-            .map(|seed| in_time_share(late_news, seed))
+            .map(|seed| in_time_share(counts_lag, seed))
             .sum::<f64>()
             / 5.0
     };
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -66,10 +66,10 @@
 
 impl World {
     fn new(seed: u64, vms: usize, domains: usize, count: usize, loss: f64) -> World {
-        let cards: Vec<VmStatus> = (0..vms).map(|at| status(at, domains, 1)).collect();
-        let fresh = |at: usize| {
-            let mut fleet = Fleet::new(cards[at].clone());
-            fleet.members.apply_vm_list(&cards[at], cards.clone());
+        let statuses: Vec<VmStatus> = (0..vms).map(|at| status(at, domains, 1)).collect();
+        let new_vm = |at: usize| {
+            let mut fleet = Fleet::new(statuses[at].clone());
+            fleet.members.apply_vm_list(&statuses[at], statuses.clone());
             Vm {
                 fleet,
                 endpoints: endpoints(count, domains),
@@ -82,7 +82,7 @@
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::ZERO,
             loss,
-            vms: (0..vms).map(fresh).collect(),
+            vms: (0..vms).map(new_vm).collect(),
             in_flight: Vec::new(),
             cuts: Vec::new(),
             removals: 0,
@@ -142,9 +142,9 @@
                     self.bytes += 1;
                     let lost = self.rng.random_bool(self.loss) || self.cuts.contains(&(from, to));
                     if !lost {
-                        let late = self.rng.random_range(1..150);
+                        let delay_ms = self.rng.random_range(1..150);
                         self.in_flight.push((
-                            self.now + Duration::from_millis(late),
+                            self.now + Duration::from_millis(delay_ms),
                             to,
                             heartbeat,
                         ));
@@ -169,8 +169,8 @@
         }
     }
 
-    fn run_for(&mut self, time: Duration) {
-        let until = self.now + time;
+    fn run_for(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
@@ -183,15 +183,15 @@
         row.is_some_and(|row| row.alive(self.now))
     }
 
-    fn watch_removals(&mut self, time: Duration) {
-        let mut seen: BTreeMap<(usize, usize), bool> = BTreeMap::new();
-        let until = self.now + time;
+    fn watch_removals(&mut self, duration: Duration) {
+        let mut alive_before: BTreeMap<(usize, usize), bool> = BTreeMap::new();
+        let until = self.now + duration;
         while self.now < until {
             self.step();
             for at in 0..self.vms.len() {
                 for other in 0..self.vms.len() {
-                    let now = at == other || self.counts_alive(at, other);
-                    if seen.insert((at, other), now) == Some(true) && !now {
+                    let alive = at == other || self.counts_alive(at, other);
+                    if alive_before.insert((at, other), alive) == Some(true) && !alive {
                         self.removals += 1;
                     }
                 }
@@ -233,37 +233,37 @@
         world.run_for(Duration::from_millis(500));
         world.report.leaving = false;
         world.run_for(Duration::from_millis(1500));
-        let gone = |world: &World| {
+        let unused_locally = |world: &World| {
             world.vms.iter().all(|vm| {
                 let domain = vm.fleet.card.domain;
-                let own = vm
+                let local = vm
                     .endpoints
                     .rows
                     .iter()
                     .filter(|row| row.declared.domain == domain);
-                own.into_iter().all(|row| !row.usable(world.now))
+                local.into_iter().all(|row| !row.usable(world.now))
             })
         };
-        assert!(gone(&world), "seed {seed}");
+        assert!(unused_locally(&world), "seed {seed}");
         world.run_for(Duration::from_secs(10));
-        assert!(gone(&world), "seed {seed}: it came back");
-        let everywhere = |vm: &Vm, usable: bool| {
+        assert!(unused_locally(&world), "seed {seed}: it came back");
+        let all_endpoints = |vm: &Vm, usable: bool| {
             vm.endpoints
                 .rows
                 .iter()
                 .all(|row| row.usable(world.now) == usable)
         };
         assert!(
-            world.vms.iter().all(|vm| everywhere(vm, false)),
+            world.vms.iter().all(|vm| all_endpoints(vm, false)),
             "seed {seed}: other domains"
         );
         world.report.incarnation = 2;
         world.run_for(Duration::from_secs(10));
-        let back = world
+        let used_again = world
             .vms
             .iter()
             .all(|vm| vm.endpoints.rows.iter().all(|row| row.usable(world.now)));
-        assert!(back, "seed {seed}: the new incarnation is not used");
+        assert!(used_again, "seed {seed}: the new incarnation is not used");
     }
 }
 
@@ -272,31 +272,31 @@
 // stop.
 #[test]
 fn reused_id() {
-    let own = status(0, 1, 1);
+    let local = status(0, 1, 1);
     let mut members = Members::default();
     let second = Duration::from_secs(1);
     assert_eq!(
-        members.apply_heartbeat(second, &own, status(1, 1, 5), 100),
+        members.apply_heartbeat(second, &local, status(1, 1, 5), 100),
         HeartbeatOutcome::Applied
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, status(1, 1, 6), 1),
+        members.apply_heartbeat(second, &local, status(1, 1, 6), 1),
         HeartbeatOutcome::Applied
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, status(1, 1, 5), 101),
+        members.apply_heartbeat(second, &local, status(1, 1, 5), 101),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, status(1, 1, 6), 1),
+        members.apply_heartbeat(second, &local, status(1, 1, 6), 1),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, status(0, 1, 2), 1),
+        members.apply_heartbeat(second, &local, status(0, 1, 2), 1),
         HeartbeatOutcome::Superseded
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, status(0, 1, 0), 1),
+        members.apply_heartbeat(second, &local, status(0, 1, 0), 1),
         HeartbeatOutcome::Stale
     );
 }
@@ -344,11 +344,11 @@
         }
         world.cuts.clear();
         world.run_for(Duration::from_secs(5));
-        let homes = |vm: &Vm| -> Vec<_> {
+        let assigned_vms = |vm: &Vm| -> Vec<_> {
             let rows = vm.endpoints.rows.iter();
             rows.map(|row| vm.fleet.assigned_vm(row.id)).collect()
         };
-        let first = homes(&world.vms[0]);
-        world.vms.iter().all(|vm| homes(vm) == first)
+        let first = assigned_vms(&world.vms[0]);
+        world.vms.iter().all(|vm| assigned_vms(vm) == first)
     }
 }
--- a/tests/proof_ages.rs
+++ b/tests/proof_ages.rs
@@ -27,41 +27,41 @@
 // sent away in the second after it, and read all records.
 #[test]
 fn behind_after_outage() {
-    let mut proofs = Freshness::default();
-    assert!(!proofs.is_live_stale(secs(10), None));
-    proofs.confirm(StoreSubject::Live, secs(10));
-    assert!(!proofs.is_live_stale(secs(11), None));
-    assert!(!proofs.is_live_stale(secs(18), Some(Duration::from_millis(100))));
-    assert!(!proofs.is_live_stale(secs(18), Some(secs(2))));
-    assert!(proofs.is_live_stale(secs(18), Some(secs(5))));
-    assert!(proofs.is_live_stale(secs(18), None));
+    let mut freshness = Freshness::default();
+    assert!(!freshness.is_live_stale(secs(10), None));
+    freshness.confirm(StoreSubject::Live, secs(10));
+    assert!(!freshness.is_live_stale(secs(11), None));
+    assert!(!freshness.is_live_stale(secs(18), Some(Duration::from_millis(100))));
+    assert!(!freshness.is_live_stale(secs(18), Some(secs(2))));
+    assert!(freshness.is_live_stale(secs(18), Some(secs(5))));
+    assert!(freshness.is_live_stale(secs(18), None));
 }
 
 // Guards against a VM that takes a newer peer's confirmation for one of its own older rules, and
 // refuses a route that was added.
 #[test]
 fn proof_of_more() {
-    let mut proofs = Freshness::default();
+    let mut freshness = Freshness::default();
     let behind = VersionsMatch {
         rules: false,
         endpoints: true,
     };
-    proofs.confirm_by_peer(secs(10), rules_age(100), behind);
-    assert!(!proofs.are_rules_fresh(secs(10)));
-    proofs.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
-    assert!(proofs.are_rules_fresh(secs(10)));
-    assert!(!proofs.are_rules_fresh(secs(12)));
+    freshness.confirm_by_peer(secs(10), rules_age(100), behind);
+    assert!(!freshness.are_rules_fresh(secs(10)));
+    freshness.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
+    assert!(freshness.are_rules_fresh(secs(10)));
+    assert!(!freshness.are_rules_fresh(secs(12)));
 }
 
 // A confirmation from a peer is not forwarded: it would seem younger with each hop.
 #[test]
 fn not_told_on() {
-    let mut proofs = Freshness::default();
-    proofs.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
+    let mut freshness = Freshness::default();
+    freshness.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
     assert_eq!(
-        proofs.own_confirmation_ages(secs(10)),
+        freshness.own_confirmation_ages(secs(10)),
         ConfirmationAges::default()
     );
-    proofs.confirm(StoreSubject::Rules, secs(9));
-    assert_eq!(proofs.own_confirmation_ages(secs(10)), rules_age(1000));
+    freshness.confirm(StoreSubject::Rules, secs(9));
+    assert_eq!(freshness.own_confirmation_ages(secs(10)), rules_age(1000));
 }
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -94,7 +94,7 @@
 #[test]
 fn served_meanwhile() {
     let mut peers = Peers::default();
-    let mut said = |at: u64, sequence: u64, store: bool| {
+    let mut is_serving = |at: u64, sequence: u64, store: bool| {
         let beat = Heartbeat {
             store,
             ..heartbeat(200, sequence)
@@ -102,13 +102,13 @@
         peers.apply_heartbeat(ms(at), address(), &beat);
         peers.is_store_serving_for(ms(at), ms(1000))
     };
-    assert!(!said(0, 1, true));
-    assert!(said(1000, 2, true));
-    assert!(!said(1500, 3, false));
-    assert!(!said(2000, 4, true));
-    assert!(said(3000, 5, true));
+    assert!(!is_serving(0, 1, true));
+    assert!(is_serving(1000, 2, true));
+    assert!(!is_serving(1500, 3, false));
+    assert!(!is_serving(2000, 4, true));
+    assert!(is_serving(3000, 5, true));
     // A gap in the heartbeats ends the unbroken time.
-    assert!(!said(9000, 6, true));
+    assert!(!is_serving(9000, 6, true));
 }
 
 // Guards against a VM that keeps old rules because it asks the same peer for newer ones again and
@@ -117,24 +117,24 @@
 #[test]
 fn asks_another() {
     let mut peers = Peers::default();
-    let newer = |name: &str, owner| Heartbeat {
+    let newer_heartbeat = |name: &str, owner| Heartbeat {
         name: name.into(),
         rules: 5,
         ..heartbeat(owner, 1)
     };
-    let far = SocketAddr::from(([127, 0, 0, 2], 1));
-    peers.apply_heartbeat(ms(0), address(), &newer("vm-b", 7));
-    peers.apply_heartbeat(ms(0), far, &newer("vm-c", 8));
-    let ahead = |answers: &dyn Fn(SocketAddr) -> bool| {
+    let other_address = SocketAddr::from(([127, 0, 0, 2], 1));
+    peers.apply_heartbeat(ms(0), address(), &newer_heartbeat("vm-b", 7));
+    peers.apply_heartbeat(ms(0), other_address, &newer_heartbeat("vm-c", 8));
+    let newer_peer = |answers: &dyn Fn(SocketAddr) -> bool| {
         let known = KnownVersions {
             rules: 1,
             endpoints: 1,
         };
-        let asked = peers.newer_peers(ms(10), 1, known, answers).rules;
-        asked.map(|asked| asked.ip())
+        let address = peers.newer_peers(ms(10), 1, known, answers).rules;
+        address.map(|address| address.ip())
     };
-    let first = ahead(&|_| true).unwrap();
-    let second = ahead(&|asked| asked.ip() != first).unwrap();
+    let first = newer_peer(&|_| true).unwrap();
+    let second = newer_peer(&|address| address.ip() != first).unwrap();
     assert_ne!(first, second);
-    assert_eq!(ahead(&|_| false), None);
+    assert_eq!(newer_peer(&|_| false), None);
 }
