--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -111,7 +111,8 @@
     assigned_vms: BTreeMap<EndpointId, VmId>,
     /// Endpoints that this VM polls. Invariant: derived from `working_vms`.
     polled_endpoints: Vec<EndpointId>,
-    /// Number of endpoints and configuration version that `assigned_vms` and `polled_endpoints` were derived from.
+    /// Number of endpoints and configuration version that `assigned_vms` and `polled_endpoints`
+    /// were derived from.
     placement_inputs: (usize, ConfigVersion),
     /// Use by other VMs: requests as last reported, and the time of the report.
     remote_uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
--- a/src/decide/peers.rs
+++ b/src/decide/peers.rs
@@ -176,7 +176,7 @@
         known.is_some_and(|peer| peer.owner == heartbeat.owner && peer.last_heartbeat_at.is_some())
     }
 
-    /// Applies a heartbeat; false when it is late or duplicate.
+    /// Applies a heartbeat; false when it is late or a duplicate.
     pub fn apply_heartbeat(
         &mut self,
         now: Duration,
--- a/src/decide/peers/delegates.rs
+++ b/src/decide/peers/delegates.rs
@@ -3,9 +3,9 @@
 //! In a small fleet every VM reports its in-flight requests to every other one. What one VM
 //! receives and processes grows linearly with the fleet, the total with its square: with 250 VMs of
 //! an eighth of a core, heartbeats used all of the CPU and callers got no answers. So above
-//! [`FULL_MESH_VMS_MAX`] VMs each one reports to its failure domain, or to two delegates of it where the
-//! domain is large, and these send the others domain summaries, whose size grows with endpoints,
-//! not with VMs.
+//! [`FULL_MESH_VMS_MAX`] VMs each one reports to its failure domain, or to two delegates of it
+//! where the domain is large, and these send the others domain summaries, whose size grows with
+//! endpoints, not with VMs.
 
 use std::time::Duration;
 
--- a/src/decide/peers/domains.rs
+++ b/src/decide/peers/domains.rs
@@ -46,7 +46,7 @@
 }
 
 impl Domains {
-    /// Applies a summary; false when it is late or duplicate.
+    /// Applies a summary; false when it is late or a duplicate.
     pub fn apply_summary(&mut self, now: Duration, summary: &Summary) -> bool {
         let newest = (summary.sequence, summary.part);
         let known = self.delegates.get(&summary.by);
--- a/src/decide/peers/speaking.rs
+++ b/src/decide/peers/speaking.rs
@@ -74,9 +74,9 @@
         now < since + PEER_TIMEOUT
     }
 
-    /// Where heartbeats go: to the VMs of the local failure domain (`to_local_domain`), or to those of the
-    /// others and the configured addresses whose VMs are not known yet; in a large fleet to the
-    /// delegates.
+    /// Where heartbeats go: to the VMs of the local failure domain (`to_local_domain`), or to those
+    /// of the others and the configured addresses whose VMs are not known yet; in a large fleet to
+    /// the delegates.
     pub fn heartbeat_targets(
         &self,
         local_domain: DomainId,
--- a/src/decide/peers/waiting.rs
+++ b/src/decide/peers/waiting.rs
@@ -17,19 +17,21 @@
         local_vm: VmId,
     ) -> Vec<CompetingVm> {
         let rows = self.rows.iter();
-        let heard =
+        let living =
             rows.filter(|(_, peer)| peer.is_alive(now) && peer.waiting > 0 && !peer.draining);
-        let heard = heard.map(|(vm, peer)| CompetingVm {
+        let living = living.map(|(vm, peer)| CompetingVm {
             vm: *vm,
             domain: peer.domain,
             items: peer.waiting,
         });
         if !self.is_large() {
-            return heard.collect();
+            return living.collect();
         }
         let mut competing: Vec<CompetingVm> =
             match self.receives_domain_heartbeats(local_vm, local_domain) {
-                true => heard.filter(|other| other.domain == local_domain).collect(),
+                true => living
+                    .filter(|other| other.domain == local_domain)
+                    .collect(),
                 false => self.reported_competing_vms(now, local_domain),
             };
         let remote = self
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -357,21 +357,21 @@
     ) -> Vec<(SocketAddr, Summary)> {
         self.received += 1;
         let bytes = match &datagram {
-            Datagram::Heartbeat(beat) => postcard::to_stdvec(beat).unwrap().len(),
+            Datagram::Heartbeat(heartbeat) => postcard::to_stdvec(heartbeat).unwrap().len(),
             Datagram::Summary(summary) => postcard::to_stdvec(summary).unwrap().len(),
         };
         assert!(bytes + 32 <= DATAGRAM_BYTES, "{bytes} bytes");
         self.received_bytes += bytes as u64;
         match datagram {
-            Datagram::Heartbeat(beat) => {
-                if self.peers.apply_heartbeat(now, from, &beat) {
+            Datagram::Heartbeat(heartbeat) => {
+                if self.peers.apply_heartbeat(now, from, &heartbeat) {
                     self.freshness.confirm_by_peer(
                         now,
-                        beat.proofs,
-                        self.versions_match(beat.rules),
+                        heartbeat.proofs,
+                        self.versions_match(heartbeat.rules),
                     );
-                    let rows = beat.rows.iter().map(|row| (row.endpoint, row.uses));
-                    self.usage.apply_report(now, id::of(&beat.name), rows);
+                    let rows = heartbeat.rows.iter().map(|row| (row.endpoint, row.uses));
+                    self.usage.apply_report(now, id::of(&heartbeat.name), rows);
                 }
                 Vec::new()
             }
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -55,7 +55,7 @@
         starts - now
     }
 
-    /// Requests that were there at `heard` and have not ended by then.
+    /// Requests that were there at `at` and have not ended by then.
     fn online(&self, at: u64, is_counted: impl Fn(usize) -> bool) -> u32 {
         let counted =
             |request: &&Request| request.sent <= at && request.ends > at && is_counted(request.vm);
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -95,11 +95,11 @@
 fn served_meanwhile() {
     let mut peers = Peers::default();
     let mut is_serving = |at: u64, sequence: u64, store: bool| {
-        let beat = Heartbeat {
+        let message = Heartbeat {
             store,
             ..heartbeat(200, sequence)
         };
-        peers.apply_heartbeat(ms(at), address(), &beat);
+        peers.apply_heartbeat(ms(at), address(), &message);
         peers.is_store_serving_for(ms(at), ms(1000))
     };
     assert!(!is_serving(0, 1, true));
