--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -1,7 +1,8 @@
-//! What one VM tells the others, and what it does with what it hears.
+//! Heartbeats that one VM sends to the others, and how it applies those that it receives.
 //!
-//! Heartbeats go to each VM of the own failure domain. Two delegates a domain, by rendezvous, also
-//! send to the other domains. Heartbeats carry versions; who is behind fetches from the sender.
+//! Heartbeats go to every VM of the local failure domain. Two delegates of each domain, chosen by
+//! rendezvous hashing, also send to the other domains. Heartbeats carry versions; a VM with an
+//! older version fetches the newer one from the sender.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -15,37 +16,37 @@
     ranked, ConfigVersion, DomainId, EndpointId, Incarnation, OwnerId, Revision, VmId,
 };
 
-/// VMs of a domain that watch the platform, and that speak with other domains.
-pub const DELEGATES: usize = 2;
+/// VMs of a domain that watch the platform and exchange heartbeats with other domains.
+pub const DELEGATES_PER_DOMAIN: usize = 2;
 /// VMs that poll one endpoint.
-pub const POLLERS: usize = 2;
+pub const POLLERS_PER_ENDPOINT: usize = 2;
 /// Time between two polls of an endpoint by one VM.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two heartbeats to another domain.
 pub const REMOTE_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1000);
-/// Rows in one heartbeat; keeps the datagram within one packet.
+/// Endpoint rows in one heartbeat; keeps the datagram within one packet.
 pub const ROWS_MAX: usize = 24;
-/// Unchanged rows that are told again with each heartbeat, in turn, so that a row that was lost
-/// comes again.
-pub const REFRESH_ROWS: usize = 3;
-/// No second fetch of the same thing before the first can have come.
-pub const FETCH_PAUSE: Duration = Duration::from_millis(300);
-/// What another VM said of its use of an endpoint counts no longer than this.
-pub const LOAD_LIFE: Duration = Duration::from_secs(5);
+/// Unchanged rows that are sent again with each heartbeat, in rotation, so that a lost row is
+/// repeated.
+pub const REFRESH_ROWS_MAX: usize = 3;
+/// Shortest time between two fetches of the same data, so that the first one can complete.
+pub const FETCH_RETRY_INTERVAL: Duration = Duration::from_millis(300);
+/// Time after which another VM's reported use of an endpoint is dropped.
+pub const USE_EXPIRES_AFTER: Duration = Duration::from_secs(5);
 
 const KEY_DELEGATE: u64 = 0x64656c;
 
-/// One VM's use of one endpoint, and what it was told by it.
+/// One VM's use of one endpoint, and the endpoint's last report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UseRow {
     pub endpoint: EndpointId,
-    /// Online requests of the sender there.
+    /// Online requests of the sender at the endpoint.
     pub online: u32,
-    /// What the endpoint last said to a poller.
+    /// The endpoint's last report to a poller.
     pub report: Option<RelayedReport>,
 }
 
-/// A report on its way between VMs.
+/// An endpoint's report as relayed between VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RelayedReport {
     pub incarnation: Incarnation,
@@ -57,91 +58,93 @@
 /// The message between VMs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    pub card: VmStatus,
+    pub status: VmStatus,
     pub sequence: u64,
-    /// The VM that it was meant for, with the incarnation last heard, 0 for none.
+    /// Endpoints whose use or report changed, and a few unchanged ones.
     pub rows: Vec<UseRow>,
 }
 
-/// What a VM does next.
+/// An action that the caller carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Send {
         to: SocketAddr,
         heartbeat: Heartbeat,
     },
-    /// Ask this VM for its configuration.
+    /// Fetch the configuration from this VM.
     FetchConfig {
         from: SocketAddr,
         version: ConfigVersion,
     },
-    /// Ask this VM for job records after the own revision.
+    /// Fetch job records after the local revision from this VM.
     FetchJobs { from: SocketAddr },
     /// Ask an endpoint for its report.
     Poll { endpoint: EndpointId },
-    /// A later process has this VM's id.
+    /// A later process has this VM's id: this one stops.
     Stop,
 }
 
-/// The view of one VM.
+/// One VM's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     pub card: VmStatus,
     pub members: Members,
     sequence: u64,
     next_heartbeat: Duration,
-    next_far: Duration,
+    next_remote_heartbeat: Duration,
     polled_at: HashMap<EndpointId, Duration>,
-    /// Highest version that was heard of, and from whom.
-    config_told: (SocketAddr, ConfigVersion),
-    jobs_told: (SocketAddr, Revision),
+    /// Highest version that was received, and its sender.
+    newest_config: (SocketAddr, ConfigVersion),
+    newest_jobs: (SocketAddr, Revision),
     fetched_config_at: Option<Duration>,
     fetched_jobs_at: Option<Duration>,
-    /// Rows that changed since they were last told.
+    /// Rows that changed since they were last sent.
     dirty: VecDeque<EndpointId>,
-    refresh_at: usize,
-    told: HashMap<EndpointId, UseRow>,
-    /// VMs of the own failure domain that take on work, as of the last tick.
-    working: Vec<VmId>,
+    refresh_index: usize,
+    last_sent: HashMap<EndpointId, UseRow>,
+    /// VMs of the local failure domain that accept work, as of the last tick.
+    working_vms: Vec<VmId>,
     /// Those of them whose batch process is up.
-    batching: Vec<VmId>,
-    /// Home of each endpoint of the own failure domain. Invariant: made from `batching`.
-    homes: BTreeMap<EndpointId, VmId>,
-    /// Endpoints that this VM polls. Invariant: made from `working`.
-    polls: Vec<EndpointId>,
-    /// Number of endpoints and configuration that `homes` and `polls` were made for.
-    made_for: (usize, ConfigVersion),
-    /// Use by other VMs: what each said, and when.
-    uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
+    batch_vms: Vec<VmId>,
+    /// Assigned VM of each endpoint of the local failure domain. Invariant: derived from
+    /// `batch_vms`.
+    assigned_vms: BTreeMap<EndpointId, VmId>,
+    /// Endpoints that this VM polls. Invariant: derived from `working_vms`.
+    polled_endpoints: Vec<EndpointId>,
+    /// Number of endpoints and configuration version that `assigned_vms` and `polled_endpoints`
+    /// were derived from.
+    placement_inputs: (usize, ConfigVersion),
+    /// Use by other VMs: requests as last reported, and the time of the report.
+    remote_uses: HashMap<(VmId, EndpointId), (u32, Duration)>,
 }
 
 impl Fleet {
-    /// A VM that has heard of no other.
+    /// A VM that has received nothing yet.
     pub fn new(card: VmStatus) -> Fleet {
         Fleet {
             members: Members::default(),
             sequence: 0,
             next_heartbeat: Duration::ZERO,
-            next_far: Duration::ZERO,
+            next_remote_heartbeat: Duration::ZERO,
             polled_at: HashMap::new(),
-            config_told: (card.peer_address, 0),
-            jobs_told: (card.peer_address, 0),
+            newest_config: (card.peer_address, 0),
+            newest_jobs: (card.peer_address, 0),
             fetched_config_at: None,
             fetched_jobs_at: None,
             dirty: VecDeque::new(),
-            refresh_at: 0,
-            told: HashMap::new(),
-            working: Vec::new(),
-            batching: Vec::new(),
-            homes: BTreeMap::new(),
-            polls: Vec::new(),
-            made_for: (0, 0),
-            uses: HashMap::new(),
+            refresh_index: 0,
+            last_sent: HashMap::new(),
+            working_vms: Vec::new(),
+            batch_vms: Vec::new(),
+            assigned_vms: BTreeMap::new(),
+            polled_endpoints: Vec::new(),
+            placement_inputs: (0, 0),
+            remote_uses: HashMap::new(),
             card,
         }
     }
 
-    /// Takes a heartbeat.
+    /// Applies a heartbeat.
     pub fn apply_heartbeat(
         &mut self,
         now: Duration,
@@ -149,50 +152,51 @@
         endpoints: &mut Endpoints,
         out: &mut Vec<Action>,
     ) {
-        let (vm, domain) = (heartbeat.card.vm, heartbeat.card.domain);
-        let (config, jobs) = (heartbeat.card.config, heartbeat.card.jobs);
-        let from = heartbeat.card.peer_address;
-        let heard =
+        let (vm, domain) = (heartbeat.status.vm, heartbeat.status.domain);
+        let (config, jobs) = (heartbeat.status.config, heartbeat.status.jobs);
+        let from = heartbeat.status.peer_address;
+        let outcome =
             self.members
-                .apply_heartbeat(now, &self.card, heartbeat.card, heartbeat.sequence);
-        match heard {
+                .apply_heartbeat(now, &self.card, heartbeat.status, heartbeat.sequence);
+        match outcome {
             HeartbeatOutcome::Stale => return,
             HeartbeatOutcome::Superseded => {
                 out.push(Action::Stop);
                 return;
             }
-            HeartbeatOutcome::Taken => {}
+            HeartbeatOutcome::Applied => {}
         }
         for row in heartbeat.rows {
-            self.take_row(now, vm, domain, row, endpoints);
+            self.apply_row(now, vm, domain, row, endpoints);
         }
-        if config >= self.config_told.1 {
-            self.config_told = (from, config);
+        if config >= self.newest_config.1 {
+            self.newest_config = (from, config);
         }
-        if jobs >= self.jobs_told.1 {
-            self.jobs_told = (from, jobs);
+        if jobs >= self.newest_jobs.1 {
+            self.newest_jobs = (from, jobs);
         }
-        self.fetch(now, out);
+        self.fetch_newer(now, out);
     }
 
-    /// Fetches what this VM was told of and does not have; again while it does not come.
+    /// Fetches newer versions that were announced and are missing here, and retries until they
+    /// arrive.
     ///
-    /// The failure: a second change comes right after a first one whose fetch is under way. Asked
-    /// for only when it is heard, it would wait for the next heartbeat from afar.
-    fn fetch(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let (from, version) = self.config_told;
-        if version > self.card.config && due(self.fetched_config_at, now) {
+    /// It also runs on each tick: without this, a second change that is announced while the first
+    /// one's fetch is in flight would wait for the next heartbeat from a remote domain.
+    fn fetch_newer(&mut self, now: Duration, out: &mut Vec<Action>) {
+        let (from, version) = self.newest_config;
+        if version > self.card.config && is_fetch_due(self.fetched_config_at, now) {
             self.fetched_config_at = Some(now);
             out.push(Action::FetchConfig { from, version });
         }
-        let (from, revision) = self.jobs_told;
-        if revision > self.card.jobs && due(self.fetched_jobs_at, now) {
+        let (from, revision) = self.newest_jobs;
+        if revision > self.card.jobs && is_fetch_due(self.fetched_jobs_at, now) {
             self.fetched_jobs_at = Some(now);
             out.push(Action::FetchJobs { from });
         }
     }
 
-    fn take_row(
+    fn apply_row(
         &mut self,
         now: Duration,
         vm: VmId,
@@ -201,12 +205,12 @@
         endpoints: &mut Endpoints,
     ) {
         let id = row.endpoint;
-        self.uses.insert((vm, id), (row.online, now));
+        self.remote_uses.insert((vm, id), (row.online, now));
         let Some(endpoint) = endpoints.get_mut(id) else {
             return;
         };
-        let Some(told) = row.report else { return };
-        let news = endpoint.leaving.is_some() != told.leaving;
+        let Some(report) = row.report else { return };
+        let leaving_changed = endpoint.leaving.is_some() != report.leaving;
         let models = endpoint
             .report
             .as_ref()
@@ -215,21 +219,22 @@
         endpoint.apply_report(
             now,
             EndpointReport {
-                incarnation: told.incarnation,
-                running: told.running,
-                waiting: told.waiting,
-                leaving: told.leaving,
+                incarnation: report.incarnation,
+                running: report.running,
+                waiting: report.waiting,
+                leaving: report.leaving,
                 models,
             },
         );
-        // News of another domain goes on to the own one; news of the own domain came from it.
-        if news && domain != self.card.domain {
+        // Changes from a remote domain are forwarded to the local one; those of the local domain
+        // came from it.
+        if leaving_changed && domain != self.card.domain {
             self.mark_changed(id);
         }
     }
 
-    /// Takes an endpoint's own report. Only what others decide by is news to them: told with each
-    /// poll, reports would be most of the bytes between VMs.
+    /// Applies an endpoint's own report. Only a change of the state that other VMs use is sent on:
+    /// sent with each poll, reports would be most of the bytes between VMs.
     pub fn apply_endpoint_report(
         &mut self,
         now: Duration,
@@ -240,59 +245,59 @@
         let Some(endpoint) = endpoints.get_mut(id) else {
             return;
         };
-        let known = |row: &super::endpoints::Endpoint| {
+        let shared_state = |row: &super::endpoints::Endpoint| {
             (
                 row.leaving,
                 row.report.as_ref().map(|report| report.incarnation),
             )
         };
-        let before = known(endpoint);
+        let before = shared_state(endpoint);
         endpoint.apply_report(now, report);
-        if known(endpoint) != before {
+        if shared_state(endpoint) != before {
             self.mark_changed(id);
         }
     }
 
-    /// Has a row told with the next heartbeat.
+    /// Includes a row in the next heartbeat.
     pub fn mark_changed(&mut self, id: EndpointId) {
         if !self.dirty.contains(&id) {
             self.dirty.push_back(id);
         }
     }
 
-    /// Sends, polls and forgets what is due.
+    /// Sends heartbeats, polls endpoints and drops expired state when each is due.
     pub fn tick(&mut self, now: Duration, endpoints: &mut Endpoints, out: &mut Vec<Action>) {
         self.members.tick(now);
-        self.fetch(now, out);
-        self.place(now, endpoints);
-        self.sum_uses(now, endpoints);
+        self.fetch_newer(now, out);
+        self.update_placement(now, endpoints);
+        self.sum_remote_uses(now, endpoints);
         if now >= self.next_heartbeat {
             self.next_heartbeat = now + HEARTBEAT_INTERVAL;
-            let far = now >= self.next_far && self.is_delegate(now);
-            if far {
-                self.next_far = now + REMOTE_HEARTBEAT_INTERVAL;
+            let to_remote = now >= self.next_remote_heartbeat && self.is_delegate(now);
+            if to_remote {
+                self.next_remote_heartbeat = now + REMOTE_HEARTBEAT_INTERVAL;
             }
-            self.send(now, endpoints, far, out);
+            self.send_heartbeats(now, endpoints, to_remote, out);
         }
-        self.poll(now, out);
+        self.poll_endpoints(now, out);
     }
 
-    /// Tells everybody at once, as when leaving.
+    /// Sends the next heartbeats immediately to all VMs, for example before leaving.
     pub fn send_now(&mut self) {
         self.next_heartbeat = Duration::ZERO;
-        self.next_far = Duration::ZERO;
+        self.next_remote_heartbeat = Duration::ZERO;
     }
 
-    fn sum_uses(&mut self, now: Duration, endpoints: &mut Endpoints) {
+    fn sum_remote_uses(&mut self, now: Duration, endpoints: &mut Endpoints) {
         let members = &self.members;
-        self.uses.retain(|(vm, _), (_, at)| {
-            now < *at + LOAD_LIFE && members.rows.get(vm).is_some_and(|row| row.alive(now))
+        self.remote_uses.retain(|(vm, _), (_, at)| {
+            now < *at + USE_EXPIRES_AFTER && members.rows.get(vm).is_some_and(|row| row.alive(now))
         });
         for endpoint in &mut endpoints.rows {
             endpoint.online_elsewhere = 0;
             endpoint.remote_vms = 0;
         }
-        for ((_, id), (online, _)) in &self.uses {
+        for ((_, id), (online, _)) in &self.remote_uses {
             if let Some(endpoint) = endpoints.get_mut(*id) {
                 endpoint.online_elsewhere += online;
                 endpoint.remote_vms += u32::from(*online > 0);
@@ -300,17 +305,23 @@
         }
     }
 
-    fn send(&mut self, now: Duration, endpoints: &Endpoints, far: bool, out: &mut Vec<Action>) {
-        let rows = self.rows_to_tell(endpoints);
+    fn send_heartbeats(
+        &mut self,
+        now: Duration,
+        endpoints: &Endpoints,
+        to_remote: bool,
+        out: &mut Vec<Action>,
+    ) {
+        let rows = self.rows_to_send(endpoints);
         self.sequence += 1;
         let heartbeat = Heartbeat {
-            card: self.card.clone(),
+            status: self.card.clone(),
             sequence: self.sequence,
             rows,
         };
         for row in self.members.rows.values() {
-            let near = row.card.domain == self.card.domain;
-            if near || (far && self.far_target(now, row.card.vm, row.card.domain)) {
+            let is_local = row.card.domain == self.card.domain;
+            if is_local || (to_remote && self.is_remote_target(now, row.card.vm, row.card.domain)) {
                 let to = row.card.gossip_address;
                 out.push(Action::Send {
                     to,
@@ -320,8 +331,9 @@
         }
     }
 
-    /// The two VMs of another domain to speak with: those heard lately, else any that are known.
-    fn far_target(&self, now: Duration, vm: VmId, domain: DomainId) -> bool {
+    /// Whether a VM is one of the two targets in a remote domain: living VMs first, else any known
+    /// one.
+    fn is_remote_target(&self, now: Duration, vm: VmId, domain: DomainId) -> bool {
         let of_domain = || {
             self.members
                 .rows
@@ -330,9 +342,9 @@
         };
         let alive = of_domain().filter(|r| r.alive(now)).map(|r| r.card.vm);
         let mut targets = ranked(KEY_DELEGATE, alive);
-        targets.truncate(DELEGATES);
-        if targets.len() < DELEGATES {
-            // Which of the silent ones lives is not known: try them in turn.
+        targets.truncate(DELEGATES_PER_DOMAIN);
+        if targets.len() < DELEGATES_PER_DOMAIN {
+            // Which of the silent VMs is alive is not known: try them in rotation.
             let mut silent: Vec<VmId> = of_domain()
                 .filter(|r| !r.alive(now))
                 .map(|r| r.card.vm)
@@ -345,10 +357,10 @@
         targets.contains(&vm)
     }
 
-    fn rows_to_tell(&mut self, endpoints: &Endpoints) -> Vec<UseRow> {
+    fn rows_to_send(&mut self, endpoints: &Endpoints) -> Vec<UseRow> {
         for endpoint in &endpoints.rows {
-            let told = self.told.get(&endpoint.id);
-            let changed = told.map_or(endpoint.online_here > 0, |row| {
+            let last_sent = self.last_sent.get(&endpoint.id);
+            let changed = last_sent.map_or(endpoint.online_here > 0, |row| {
                 row.online != endpoint.online_here
                     || row.report.as_ref().map(|r| r.leaving)
                         != endpoint.report.as_ref().map(|r| r.leaving)
@@ -358,21 +370,21 @@
             }
         }
         let mut rows = Vec::new();
-        while rows.len() < ROWS_MAX - REFRESH_ROWS {
+        while rows.len() < ROWS_MAX - REFRESH_ROWS_MAX {
             let Some(id) = self.dirty.pop_front() else {
                 break;
             };
             rows.extend(endpoints.get(id).map(|endpoint| self.row(endpoint)));
         }
-        for _ in 0..REFRESH_ROWS.min(endpoints.rows.len()) {
-            self.refresh_at = (self.refresh_at + 1) % endpoints.rows.len();
-            let endpoint = &endpoints.rows[self.refresh_at];
+        for _ in 0..REFRESH_ROWS_MAX.min(endpoints.rows.len()) {
+            self.refresh_index = (self.refresh_index + 1) % endpoints.rows.len();
+            let endpoint = &endpoints.rows[self.refresh_index];
             if endpoint.report.is_some() && rows.iter().all(|row| row.endpoint != endpoint.id) {
                 rows.push(self.row(endpoint));
             }
         }
         for row in &rows {
-            self.told.insert(row.endpoint, row.clone());
+            self.last_sent.insert(row.endpoint, row.clone());
         }
         rows
     }
@@ -391,37 +403,44 @@
         }
     }
 
-    /// Places endpoints on VMs anew when either have changed.
-    fn place(&mut self, now: Duration, endpoints: &Endpoints) {
-        let (domain, card) = (self.card.domain, &self.card);
-        let mut working = self.members.ranked_for(now, card, domain, 0);
-        working.sort_unstable();
-        let mut batching = self.members.batch_ranked(now, card, 0);
-        batching.sort_unstable();
-        let made_for = (endpoints.rows.len(), card.config);
-        if (&working, &batching, made_for) == (&self.working, &self.batching, self.made_for) {
+    /// Assigns endpoints to VMs again when VMs, endpoints or configuration have changed.
+    fn update_placement(&mut self, now: Duration, endpoints: &Endpoints) {
+        let (domain, local) = (self.card.domain, &self.card);
+        let mut working_vms = self.members.ranked_for(now, local, domain, 0);
+        working_vms.sort_unstable();
+        let mut batch_vms = self.members.ranked_batch_vms(now, local, 0);
+        batch_vms.sort_unstable();
+        let inputs = (endpoints.rows.len(), local.config);
+        if (&working_vms, &batch_vms, inputs)
+            == (&self.working_vms, &self.batch_vms, self.placement_inputs)
+        {
             return;
         }
-        (self.working, self.batching, self.made_for) = (working, batching, made_for);
-        self.homes.clear();
-        self.polls.clear();
+        (self.working_vms, self.batch_vms, self.placement_inputs) =
+            (working_vms, batch_vms, inputs);
+        self.assigned_vms.clear();
+        self.polled_endpoints.clear();
         for row in endpoints
             .rows
             .iter()
             .filter(|row| row.declared.domain == domain)
         {
-            if let Some(home) = ranked(row.id, self.batching.iter().copied()).first() {
-                self.homes.insert(row.id, *home);
+            if let Some(vm) = ranked(row.id, self.batch_vms.iter().copied()).first() {
+                self.assigned_vms.insert(row.id, *vm);
             }
-            let pollers = ranked(row.id, self.working.iter().copied());
-            if pollers.iter().take(POLLERS).any(|vm| *vm == self.card.vm) {
-                self.polls.push(row.id);
+            let pollers = ranked(row.id, self.working_vms.iter().copied());
+            if pollers
+                .iter()
+                .take(POLLERS_PER_ENDPOINT)
+                .any(|vm| *vm == self.card.vm)
+            {
+                self.polled_endpoints.push(row.id);
             }
         }
     }
 
-    fn poll(&mut self, now: Duration, out: &mut Vec<Action>) {
-        for endpoint in &self.polls {
+    fn poll_endpoints(&mut self, now: Duration, out: &mut Vec<Action>) {
+        for endpoint in &self.polled_endpoints {
             let last = self.polled_at.get(endpoint);
             if last.is_none_or(|at| now >= *at + POLL_INTERVAL) {
                 self.polled_at.insert(*endpoint, now);
@@ -432,14 +451,15 @@
         }
     }
 
-    /// Whether this VM is the first of the delegates: the one that tries for the lease of orders.
+    /// Whether this VM is the first delegate, the one that tries to acquire the lease of orders.
     pub fn is_first_delegate(&self, now: Duration) -> bool {
         self.delegate_rank(now) == Some(0)
     }
 
-    /// Whether this VM watches the platform and speaks with other domains.
+    /// Whether this VM watches the platform and exchanges heartbeats with other domains.
     pub fn is_delegate(&self, now: Duration) -> bool {
-        self.delegate_rank(now).is_some_and(|rank| rank < DELEGATES)
+        self.delegate_rank(now)
+            .is_some_and(|rank| rank < DELEGATES_PER_DOMAIN)
     }
 
     fn delegate_rank(&self, now: Duration) -> Option<usize> {
@@ -449,26 +469,26 @@
         ranked.iter().position(|vm| *vm == self.card.vm)
     }
 
-    /// The VM whose batch process may use an endpoint of the own domain.
+    /// The VM whose batch process may use an endpoint of the local domain.
     pub fn assigned_vm(&self, endpoint: EndpointId) -> Option<VmId> {
-        self.homes.get(&endpoint).copied()
+        self.assigned_vms.get(&endpoint).copied()
     }
 
-    /// Batch processes of the own domain that are up.
+    /// Batch processes of the local domain that are up.
     pub fn batch_owners(&self) -> Vec<OwnerId> {
-        let batch = |vm: &VmId| match *vm == self.card.vm {
+        let owner = |vm: &VmId| match *vm == self.card.vm {
             true => Some(self.card.batch),
             false => self.members.rows.get(vm).map(|row| row.card.batch),
         };
-        self.batching.iter().filter_map(batch).collect()
+        self.batch_vms.iter().filter_map(owner).collect()
     }
 
-    /// VMs of the own domain whose batch process is up.
+    /// VMs of the local domain whose batch process is up.
     pub fn batch_vms(&self) -> &[VmId] {
-        &self.batching
+        &self.batch_vms
     }
 }
 
-fn due(last: Option<Duration>, now: Duration) -> bool {
-    last.is_none_or(|at| now >= at + FETCH_PAUSE)
+fn is_fetch_due(last: Option<Duration>, now: Duration) -> bool {
+    last.is_none_or(|at| now >= at + FETCH_RETRY_INTERVAL)
 }
--- a/src/decide/peers.rs
+++ b/src/decide/peers.rs
@@ -1,7 +1,9 @@
-//! The other serving processes: who lives, what each knows, whom to ask.
+//! State of the other serving processes: which ones are alive, what versions they have, and which
+//! of them answers a query.
 //!
-//! In a small fleet all is known from heartbeats. In a large one a VM hears its delegates only: who lives
-//! it then knows from the registrations in the store, and what the others have from summaries.
+//! In a small fleet all of this comes from heartbeats. In a large one a VM receives messages from
+//! its delegates only: which VMs are alive comes from the registrations in the store, and their
+//! state from domain summaries.
 
 mod asking;
 mod delegates;
@@ -25,35 +27,35 @@
 use super::backlog::RouteKey;
 use crate::id::{self, ranked, ConfigVersion, DomainId, OwnerId, Revision, VmId};
 
-/// A VM heard within this time lives: three heartbeats.
-const HEARD_LIFE: Duration = Duration::from_millis(1700);
-/// A heartbeat that is no older tells of all that callers may have read there long enough ago for
-/// others to be asked for it.
-const JUST_HEARD: Duration = Duration::from_millis(750);
-/// Orders the VMs of a failure domain by fitness to watch; any constant does.
+/// Time after the last heartbeat for which a VM counts as alive: three heartbeats.
+const PEER_TIMEOUT: Duration = Duration::from_millis(1700);
+/// Age up to which a heartbeat covers every record that callers may have read at its sender long
+/// enough ago to ask another VM for it.
+const FRESH_HEARTBEAT_AGE_MAX: Duration = Duration::from_millis(750);
+/// Orders the VMs of a failure domain for the choice of the watching VM; any constant does.
 const KEY_WATCHER: u64 = 0x7761_7463_6865_7273;
-/// Orders the VMs by fitness to prove rules and endpoints; any constant does.
-const KEY_PROVER: u64 = 0x7072_6f76_6572_7331;
-/// A VM that is neither registered nor heard for so long is forgotten.
+/// Orders the VMs that refresh rules and endpoints from the store; any constant does.
+const KEY_REFRESH: u64 = 0x7072_6f76_6572_7331;
+/// Time after which a VM that is neither registered nor sends heartbeats is forgotten.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// One other VM.
+/// Another VM.
 #[derive(Debug, Clone)]
 struct Peer {
     domain: DomainId,
     gossip_address: SocketAddr,
-    /// Known once it was heard.
+    /// Set by the first heartbeat, or by a registration with a port.
     peer_address: Option<SocketAddr>,
     owner: OwnerId,
     sequence: u64,
-    heard_at: Option<Duration>,
-    seen_at: Duration,
-    /// In the store under its lease.
+    last_heartbeat_at: Option<Duration>,
+    last_seen_at: Duration,
+    /// It is in the store under its lease.
     registered: bool,
     draining: bool,
-    store: bool,
-    /// Since when each of its heartbeats says so.
-    store_since: Option<Duration>,
+    store_available: bool,
+    /// Since when each of its heartbeats has reported an available store.
+    store_available_since: Option<Duration>,
     rules: ConfigVersion,
     endpoints: Revision,
     jobs: Revision,
@@ -62,33 +64,34 @@
     core_share: f64,
 }
 
-/// This VM, among those that may watch and speak for others.
+/// This VM as a candidate for watching the store and for delegate.
 #[derive(Debug, Clone, Copy)]
 pub struct LocalVm {
     pub vm: VmId,
     pub domain: DomainId,
     pub core_share: f64,
     pub draining: bool,
-    /// It reaches the metadata store and does not drain.
+    /// The metadata store answers it and it is not draining.
     pub fit: bool,
 }
 
-/// The other VMs.
+/// All known VMs but this one.
 #[derive(Debug)]
 pub struct Peers {
     rows: HashMap<VmId, Peer>,
-    /// Addresses from the settings, spoken to until their VMs are known.
+    /// Configured addresses that receive heartbeats until their VMs are known.
     pub seeds: Vec<SocketAddr>,
     mesh_max: usize,
-    /// What delegates have told.
+    /// State of failure domains from their delegates' summaries.
     pub domains: Domains,
-    /// Delegates of the own failure domain; empty while the fleet is small.
+    /// Delegates of the local failure domain; empty while the fleet is small.
     delegates: Vec<VmId>,
-    /// Delegates of the other failure domains, and which of their failure domain each is; known to delegates only.
-    far_delegates: Vec<(usize, VmId)>,
-    /// Since when a VM was first counted on as a delegate.
-    expected: HashMap<VmId, Duration>,
-    /// Processes in whose place a newer one of their VM was seen, and when.
+    /// Delegates of the other failure domains, each with its rank in its domain; filled on
+    /// delegates only.
+    remote_delegates: Vec<(usize, VmId)>,
+    /// Since when a VM has been expected to act as a delegate.
+    delegate_expected_since: HashMap<VmId, Duration>,
+    /// Processes that a newer process of the same VM has replaced, and when that was seen.
     replaced: HashMap<OwnerId, Duration>,
 }
 
@@ -99,7 +102,7 @@
 }
 
 impl Peers {
-    /// No VM is known yet; up to `mesh_max` of them tell each other.
+    /// Starts without known VMs; up to `mesh_max` VMs form a full mesh.
     pub fn new(mesh_max: usize) -> Peers {
         Peers {
             rows: HashMap::new(),
@@ -107,17 +110,17 @@
             mesh_max,
             domains: Domains::default(),
             delegates: Vec::new(),
-            far_delegates: Vec::new(),
-            expected: HashMap::new(),
+            remote_delegates: Vec::new(),
+            delegate_expected_since: HashMap::new(),
             replaced: HashMap::new(),
         }
     }
 
-    /// Takes all VMs that are registered in the store.
+    /// Applies the list of all VMs that are registered in the store.
     pub fn apply_registrations(
         &mut self,
         now: Duration,
-        own: (VmId, OwnerId),
+        local: (VmId, OwnerId),
         records: &[VmRecord],
     ) {
         self.rows
@@ -125,8 +128,8 @@
             .for_each(|peer| peer.registered = false);
         for record in records {
             let vm = id::of(&record.name);
-            if vm == own.0 {
-                if record.owner != own.1 {
+            if vm == local.0 {
+                if record.owner != local.1 {
                     self.replaced.insert(record.owner, now);
                 }
                 continue;
@@ -137,12 +140,12 @@
                 peer_address: record.peer_address(),
                 owner: record.owner,
                 sequence: 0,
-                heard_at: None,
-                seen_at: now,
+                last_heartbeat_at: None,
+                last_seen_at: now,
                 registered: true,
                 draining: false,
-                store: false,
-                store_since: None,
+                store_available: false,
+                store_available_since: None,
                 rules: 0,
                 endpoints: 0,
                 jobs: 0,
@@ -151,9 +154,12 @@
                 core_share: record.core_share,
             });
             peer.registered = true;
-            peer.seen_at = now;
+            peer.last_seen_at = now;
             peer.core_share = record.core_share;
-            if peer.heard_at.is_none_or(|at| now >= at + HEARD_LIFE) {
+            if peer
+                .last_heartbeat_at
+                .is_none_or(|at| now >= at + PEER_TIMEOUT)
+            {
                 if peer.owner != record.owner {
                     self.replaced.insert(peer.owner, now);
                 }
@@ -164,186 +170,205 @@
         }
     }
 
-    /// Whether the process of a heartbeat was heard before.
-    pub fn is_known_process(&self, beat: &Heartbeat) -> bool {
-        let known = self.rows.get(&id::of(&beat.name));
-        known.is_some_and(|peer| peer.owner == beat.owner && peer.heard_at.is_some())
+    /// Whether a heartbeat of the same process arrived before.
+    pub fn is_known_process(&self, heartbeat: &Heartbeat) -> bool {
+        let known = self.rows.get(&id::of(&heartbeat.name));
+        known.is_some_and(|peer| peer.owner == heartbeat.owner && peer.last_heartbeat_at.is_some())
     }
 
-    /// Takes a heartbeat; false when it is late or doubled.
-    pub fn apply_heartbeat(&mut self, now: Duration, from: SocketAddr, beat: &Heartbeat) -> bool {
-        let vm = id::of(&beat.name);
+    /// Applies a heartbeat; false when it is late or a duplicate.
+    pub fn apply_heartbeat(
+        &mut self,
+        now: Duration,
+        from: SocketAddr,
+        heartbeat: &Heartbeat,
+    ) -> bool {
+        let vm = id::of(&heartbeat.name);
         let known = self.rows.get(&vm);
-        let stale = known.is_some_and(|p| p.owner == beat.owner && beat.sequence <= p.sequence);
+        let stale =
+            known.is_some_and(|p| p.owner == heartbeat.owner && heartbeat.sequence <= p.sequence);
         if stale {
             return false;
         }
-        if let Some(before) = known.filter(|peer| peer.owner != beat.owner) {
-            self.replaced.insert(before.owner, now);
+        if let Some(previous) = known.filter(|peer| peer.owner != heartbeat.owner) {
+            self.replaced.insert(previous.owner, now);
         }
-        self.replaced.remove(&beat.owner);
-        let spoken = known.filter(|peer| peer.owner == beat.owner && peer.lives(now));
-        let store_since = spoken.and_then(|peer| peer.store_since).unwrap_or(now);
+        self.replaced.remove(&heartbeat.owner);
+        let alive_before = known.filter(|peer| peer.owner == heartbeat.owner && peer.is_alive(now));
+        let available_since = alive_before
+            .and_then(|peer| peer.store_available_since)
+            .unwrap_or(now);
         let peer = Peer {
-            domain: beat.domain,
+            domain: heartbeat.domain,
             gossip_address: from,
-            peer_address: Some(SocketAddr::new(from.ip(), beat.peer_port)),
-            owner: beat.owner,
-            sequence: beat.sequence,
-            heard_at: Some(now),
-            seen_at: now,
+            peer_address: Some(SocketAddr::new(from.ip(), heartbeat.peer_port)),
+            owner: heartbeat.owner,
+            sequence: heartbeat.sequence,
+            last_heartbeat_at: Some(now),
+            last_seen_at: now,
             registered: known.is_some_and(|peer| peer.registered),
-            draining: beat.draining,
-            store: beat.store,
-            store_since: beat.store.then_some(store_since),
-            rules: beat.rules,
-            endpoints: beat.endpoints,
-            jobs: beat.jobs,
-            waiting: beat.waiting,
-            backlog: beat.backlog.clone(),
+            draining: heartbeat.draining,
+            store_available: heartbeat.store,
+            store_available_since: heartbeat.store.then_some(available_since),
+            rules: heartbeat.rules,
+            endpoints: heartbeat.endpoints,
+            jobs: heartbeat.jobs,
+            waiting: heartbeat.waiting,
+            backlog: heartbeat.backlog.clone(),
             core_share: known.map_or(0.0, |peer| peer.core_share),
         };
         self.rows.insert(vm, peer);
         true
     }
 
-    /// Whether the process that owns something lives, as far as can be told.
-    pub fn is_owner_alive(&self, now: Duration, own: OwnerId, owner: OwnerId) -> bool {
-        owner == own || self.living_owners(now).contains(&owner)
+    /// Whether the process with this owner id is alive, as far as is known here.
+    pub fn is_owner_alive(&self, now: Duration, local_owner: OwnerId, owner: OwnerId) -> bool {
+        owner == local_owner || self.living_owners(now).contains(&owner)
     }
 
-    /// All other processes that live, as far as can be told; a look at hundreds of jobs asks once.
+    /// All other processes that are alive, as far as is known here. Callers that check hundreds of
+    /// jobs call this once.
     pub fn living_owners(&self, now: Duration) -> HashSet<OwnerId> {
         let rows = self.rows.values();
-        let living = rows.filter(|peer| peer.registered || peer.lives(now));
+        let living = rows.filter(|peer| peer.registered || peer.is_alive(now));
         let unregistered = self.domains.living(now);
-        let unregistered = unregistered.flat_map(|(_, told)| told.unregistered.iter().copied());
+        let unregistered = unregistered.flat_map(|(_, status)| status.unregistered.iter().copied());
         let owners = living.map(|peer| peer.owner).chain(unregistered);
         owners.filter(|owner| *owner != 0).collect()
     }
 
-    /// The process of a VM that was last known.
+    /// The last known process of a VM.
     pub fn owner_of(&self, vm: VmId) -> Option<OwnerId> {
         self.rows.get(&vm).map(|peer| peer.owner)
     }
 
-    /// Whether a newer process of its VM runs in its place: a VM has one at a time, so this one is gone
-    /// for certain, and nobody needs to wait whether it comes back.
+    /// Whether a newer process of the same VM has replaced this one. A VM runs one process at a
+    /// time, so the old one is certainly gone and no caller has to wait for its return.
     pub fn is_replaced(&self, owner: OwnerId) -> bool {
         self.replaced.contains_key(&owner)
     }
 
-    /// Place of `own` in the order of all VMs that take on work, for a key.
-    pub fn rank(&self, now: Duration, own: VmId, key: u64) -> usize {
+    /// Rank of this VM among all VMs that accept work, in the order for `key`.
+    pub fn rank(&self, now: Duration, local_vm: VmId, key: u64) -> usize {
         let others = self.rows.iter();
-        let working = others.filter(|(vm, peer)| self.works(now, **vm, peer));
-        let vms = working.map(|(vm, _)| *vm).chain([own]);
+        let accepting = others.filter(|(vm, peer)| self.accepts_work(now, **vm, peer));
+        let vms = accepting.map(|(vm, _)| *vm).chain([local_vm]);
         let order = ranked(key, vms);
-        order.iter().position(|vm| *vm == own).unwrap_or(0)
+        order.iter().position(|vm| *vm == local_vm).unwrap_or(0)
     }
 
-    /// The process that goes on with a job which this VM hands over; all VMs would choose alike.
+    /// The process that takes over a job from this VM; all VMs choose the same one.
     pub fn successor(&self, now: Duration, key: u64) -> Option<OwnerId> {
         let rows = self.rows.iter();
-        let fit = rows
-            .filter(|(vm, peer)| self.works(now, **vm, peer) && (peer.store || !peer.lives(now)));
-        let first = ranked(key, fit.map(|(vm, _)| *vm)).first().copied()?;
+        let candidates = rows.filter(|(vm, peer)| {
+            self.accepts_work(now, **vm, peer) && (peer.store_available || !peer.is_alive(now))
+        });
+        let first = ranked(key, candidates.map(|(vm, _)| *vm))
+            .first()
+            .copied()?;
         self.rows.get(&first).map(|peer| peer.owner)
     }
 
-    /// Whether a VM takes on work: heard of late in a small fleet, registered in a large one, where most
-    /// are never heard.
-    fn works(&self, now: Duration, vm: VmId, peer: &Peer) -> bool {
-        let here = peer.lives(now) || (self.is_large() && peer.registered);
-        here && !peer.draining && !self.domains.is_draining(now, vm)
+    /// Whether a VM accepts work. It must be alive by heartbeats in a small fleet, registered in a
+    /// large one, where most VMs send none to this one.
+    fn accepts_work(&self, now: Duration, vm: VmId, peer: &Peer) -> bool {
+        let available = peer.is_alive(now) || (self.is_large() && peer.registered);
+        available && !peer.draining && !self.domains.is_draining(now, vm)
     }
 
-    /// Whether VMs tell their delegates only.
+    /// Whether the fleet is too large for a full mesh, so that VMs send heartbeats to delegates.
     pub fn is_large(&self) -> bool {
         self.rows.len() + 1 > self.mesh_max
     }
 
-    /// Whether a VM hears the others of its failure domain themselves, and not only what delegates tell of them. `own` is of
-    /// the failure domain `home`.
-    pub fn receives_domain_heartbeats(&self, own: VmId, home: DomainId) -> bool {
-        !self.is_large() || self.is_delegate(own) || self.is_domain_meshed(home)
+    /// Whether a VM receives the heartbeats of its failure domain itself instead of the delegates'
+    /// summaries only.
+    pub fn receives_domain_heartbeats(&self, vm: VmId, domain: DomainId) -> bool {
+        !self.is_large() || self.is_delegate(vm) || self.is_domain_meshed(domain)
     }
 
-    /// Whether the VMs of a failure domain tell each other.
+    /// Whether the VMs of a failure domain send heartbeats to each other.
     pub fn is_domain_meshed(&self, domain: DomainId) -> bool {
-        let near = self.rows.values().filter(|peer| peer.domain == domain);
-        !self.is_large() || near.count() < DOMAIN_MESH_PEERS_MAX
+        let domain_peers = self.rows.values().filter(|peer| peer.domain == domain);
+        !self.is_large() || domain_peers.count() < DOMAIN_MESH_PEERS_MAX
     }
 
-    /// Whether a VM is a delegate of the own failure domain.
+    /// Whether a VM is a delegate of the local failure domain.
     pub fn is_delegate(&self, vm: VmId) -> bool {
         self.delegates.contains(&vm)
     }
 
-    /// Drops VMs that are gone and chooses delegates; true when this VM became one or ceased to be one.
-    pub fn tick(&mut self, now: Duration, own: LocalVm) -> bool {
+    /// Drops expired VMs and chooses delegates; true when this VM became a delegate or ceased to be
+    /// one.
+    pub fn tick(&mut self, now: Duration, local: LocalVm) -> bool {
         self.rows
-            .retain(|_, peer| peer.registered || now < peer.seen_at + FORGET_AFTER);
+            .retain(|_, peer| peer.registered || now < peer.last_seen_at + FORGET_AFTER);
         self.replaced.retain(|_, at| now < *at + FORGET_AFTER);
         self.domains.tick(now);
         let rows = &self.rows;
-        self.expected
+        self.delegate_expected_since
             .retain(|vm, _| rows.get(vm).is_some_and(|peer| peer.registered));
-        let before = self.is_delegate(own.vm);
+        let was_delegate = self.is_delegate(local.vm);
         self.delegates = match self.is_large() {
-            true => self.chosen(now, own.domain, Some(own).filter(|own| !own.draining)),
+            true => self.choose_delegates(
+                now,
+                local.domain,
+                Some(local).filter(|local| !local.draining),
+            ),
             false => Vec::new(),
         };
-        let after = self.is_delegate(own.vm);
-        self.far_delegates.clear();
-        if after {
+        let is_delegate = self.is_delegate(local.vm);
+        self.remote_delegates.clear();
+        if is_delegate {
             let domains: HashSet<DomainId> = self.rows.values().map(|peer| peer.domain).collect();
-            for domain in domains.into_iter().filter(|domain| *domain != own.domain) {
-                let chosen = self.chosen(now, domain, None);
-                self.far_delegates.extend(chosen.into_iter().enumerate());
+            for domain in domains.into_iter().filter(|domain| *domain != local.domain) {
+                let chosen = self.choose_delegates(now, domain, None);
+                self.remote_delegates.extend(chosen.into_iter().enumerate());
             }
         }
-        before != after
+        was_delegate != is_delegate
     }
 
-    /// Where the living process with this owner id answers other VMs.
+    /// Peer address of the living process with this owner id.
     pub fn address(&self, now: Duration, owner: OwnerId) -> Option<SocketAddr> {
         let large = self.is_large();
         let rows = self.rows.values();
-        let mut living = rows.filter(|peer| peer.lives(now) || (large && peer.registered));
+        let mut living = rows.filter(|peer| peer.is_alive(now) || (large && peer.registered));
         living
             .find(|peer| peer.owner == owner)
             .and_then(|peer| peer.peer_address)
     }
 
-    /// Whether all registered VMs were heard just now, and none knows a newer job record. Never so in a
-    /// large fleet, where most are not heard.
+    /// Whether a fresh heartbeat of every registered VM has arrived and none reports a newer job
+    /// record. Never true in a large fleet, where most VMs send none to this one.
     pub fn all_confirm_jobs(&self, now: Duration, jobs: Revision) -> bool {
-        let told = |peer: &Peer| {
-            let heard = peer.heard_at.is_some_and(|at| now < at + JUST_HEARD);
-            heard && peer.jobs <= jobs
+        let confirms = |peer: &Peer| {
+            let is_fresh = peer
+                .last_heartbeat_at
+                .is_some_and(|at| now < at + FRESH_HEARTBEAT_AGE_MAX);
+            is_fresh && peer.jobs <= jobs
         };
         let mut rows = self.rows.values().filter(|peer| peer.registered);
-        rows.clone().next().is_some() && rows.all(told)
+        rows.clone().next().is_some() && rows.all(confirms)
     }
 
-    /// Other VMs that may let jobs in: whoever is registered or was heard of late.
+    /// Number of other VMs that may admit jobs: those registered or recently alive.
     pub fn admitting_vms(&self) -> u32 {
         self.rows.len() as u32
     }
 
-    /// Other VMs that are registered or were heard of late.
+    /// Number of other VMs that are registered or alive.
     pub fn expected_vms(&self, now: Duration) -> u32 {
         let rows = self.rows.values();
-        let expected = rows.filter(|peer| peer.registered || peer.lives(now));
+        let expected = rows.filter(|peer| peer.registered || peer.is_alive(now));
         expected.count() as u32
     }
 
-    /// VMs that live, for the dump.
+    /// Number of other VMs that are alive, for the dump.
     pub fn living_vms(&self, now: Duration) -> usize {
         let large = self.is_large();
         let rows = self.rows.values();
-        let living = rows.filter(|peer| peer.lives(now) || (large && peer.registered));
+        let living = rows.filter(|peer| peer.is_alive(now) || (large && peer.registered));
         living.count()
     }
 }
@@ -356,7 +381,8 @@
 }
 
 impl Peer {
-    fn lives(&self, now: Duration) -> bool {
-        self.heard_at.is_some_and(|at| now < at + HEARD_LIFE)
+    fn is_alive(&self, now: Duration) -> bool {
+        self.last_heartbeat_at
+            .is_some_and(|at| now < at + PEER_TIMEOUT)
     }
 }
--- a/src/decide/peers/asking.rs
+++ b/src/decide/peers/asking.rs
@@ -1,205 +1,230 @@
-//! Whom to ask for what.
+//! Selects the VM that answers a query, watches the store or refreshes from it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use super::delegates::DELEGATES;
-use super::{LocalVm, Peers, KEY_PROVER, KEY_WATCHER};
+use super::delegates::DELEGATES_PER_DOMAIN;
+use super::{LocalVm, Peers, KEY_REFRESH, KEY_WATCHER};
 use crate::id::{ranked, ConfigVersion, DomainId, Revision, VmId};
 
-/// What a VM knows.
+/// Versions that a VM has.
 #[derive(Debug, Clone, Copy)]
 pub struct KnownVersions {
     pub rules: ConfigVersion,
     pub endpoints: Revision,
 }
 
-/// Whom to ask for what.
+/// Peer addresses of VMs with newer versions.
 pub struct NewerPeers {
     pub rules: Option<SocketAddr>,
     pub endpoints: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Whether others are to speak for this VM, heard or not.
-    pub fn is_represented(&self, own: LocalVm) -> bool {
-        self.is_large() && !self.delegates.is_empty() && !self.is_delegate(own.vm)
+    /// Whether delegates represent this VM, whether or not their summaries arrive.
+    pub fn is_represented(&self, local: LocalVm) -> bool {
+        self.is_large() && !self.delegates.is_empty() && !self.is_delegate(local.vm)
     }
 
-    /// Whether this VM need not follow the store itself: it is no delegate of a large fleet, and one tells it
-    /// what is new.
-    pub fn is_updated_by_delegate(&self, now: Duration, own: LocalVm) -> bool {
-        self.is_represented(own) && self.watching_delegate(now, own).is_some()
+    /// Whether this VM need not watch the store itself: it is no delegate of a large fleet, and a
+    /// living delegate sends it updates.
+    pub fn is_updated_by_delegate(&self, now: Duration, local: LocalVm) -> bool {
+        self.is_represented(local) && self.watching_delegate(now, local).is_some()
     }
 
-    /// Place of this VM among those that prove rules and endpoints for the others; `None` for one that the store doesn't
-    /// answer, and for those far behind. All VMs work it out alike from what they hear.
+    /// Rank of this VM among those that refresh rules and endpoints from the store for the others;
+    /// `None` for a VM that the store doesn't answer, and for VMs too far down the order. All VMs
+    /// compute the same order from the messages that they receive.
     ///
-    /// Calls on the store are paid for and rated, so that not every VM asks on its own: in a small fleet all are in one
-    /// order; in a large one the delegates of one failure domain come first, then those of each other one, then two VMs
-    /// of each that they speak for.
-    pub fn refresh_rank(&self, now: Duration, own: LocalVm) -> Option<usize> {
-        if !own.fit && !own.draining {
+    /// Store calls are billed and rate-limited, so not every VM makes its own. A small fleet has
+    /// one order. In a large one the delegates of one failure domain come first, then those of each
+    /// other domain, then two of the VMs that they represent in each.
+    pub fn refresh_rank(&self, now: Duration, local: LocalVm) -> Option<usize> {
+        if !local.fit && !local.draining {
             return None;
         }
         if !self.is_large() {
-            return place(own.vm, self.mesh_with_store(now));
+            return rank_among(local.vm, self.mesh_vms_with_store(now));
         }
-        if self.is_represented(own) {
-            return place(own.vm, self.spoken_for(own)).map(|place| 2 * DELEGATES + place);
+        if self.is_represented(local) {
+            return rank_among(local.vm, self.represented_vms(local))
+                .map(|rank| 2 * DELEGATES_PER_DOMAIN + rank);
         }
-        let near = place(own.vm, self.delegates_with_store(now))?.min(DELEGATES - 1);
-        match place(own.domain, self.domains_with_store(now))? {
-            0 => Some(near),
-            _ => Some(DELEGATES + near),
+        let domain_rank =
+            rank_among(local.vm, self.delegates_with_store(now))?.min(DELEGATES_PER_DOMAIN - 1);
+        match rank_among(local.domain, self.domains_with_store(now))? {
+            0 => Some(domain_rank),
+            _ => Some(DELEGATES_PER_DOMAIN + domain_rank),
         }
     }
 
-    fn mesh_with_store(&self, now: Duration) -> impl Iterator<Item = VmId> + '_ {
+    fn mesh_vms_with_store(&self, now: Duration) -> impl Iterator<Item = VmId> + '_ {
         let rows = self.rows.iter();
-        let fit = rows.filter(move |(_, peer)| peer.lives(now) && peer.store && !peer.draining);
-        fit.map(|(vm, _)| *vm)
+        let eligible = rows
+            .filter(move |(_, peer)| peer.is_alive(now) && peer.store_available && !peer.draining);
+        eligible.map(|(vm, _)| *vm)
     }
 
     fn delegates_with_store(&self, now: Duration) -> impl Iterator<Item = VmId> + '_ {
-        let speaks = move |vm: &VmId| {
-            let speaker = self.domains.living_delegate(now, *vm);
-            speaker.is_some_and(|speaker| speaker.store && !speaker.draining)
+        let has_store = move |vm: &VmId| {
+            let delegate = self.domains.living_delegate(now, *vm);
+            delegate.is_some_and(|delegate| delegate.store_available && !delegate.draining)
         };
-        self.delegates.iter().copied().filter(speaks)
+        self.delegates.iter().copied().filter(has_store)
     }
 
     fn domains_with_store(&self, now: Duration) -> impl Iterator<Item = DomainId> + '_ {
-        let speakers = self.domains.living_delegates(now);
-        let fit = speakers.filter(|speaker| speaker.store && !speaker.draining);
-        fit.map(|speaker| speaker.domain)
+        let delegates = self.domains.living_delegates(now);
+        let eligible = delegates.filter(|delegate| delegate.store_available && !delegate.draining);
+        eligible.map(|delegate| delegate.domain)
     }
 
-    /// Other VMs of the failure domain that its delegates speak for.
-    fn spoken_for(&self, own: LocalVm) -> impl Iterator<Item = VmId> + '_ {
+    /// Other VMs of the local failure domain that its delegates represent.
+    fn represented_vms(&self, local: LocalVm) -> impl Iterator<Item = VmId> + '_ {
         let rows = self.rows.iter();
         let members = rows.filter(move |(vm, peer)| {
-            peer.registered && peer.domain == own.domain && !self.is_delegate(**vm)
+            peer.registered && peer.domain == local.domain && !self.is_delegate(**vm)
         });
         members.map(|(vm, _)| *vm)
     }
 
-    /// The VM of the own failure domain that watches the metadata store for the others, where it is
-    /// not this one: all work it out alike from what they hear, and one that the store turns away is
-    /// passed over. `None` as well while two of them think so of themselves, which costs calls only.
-    /// In a large fleet the delegates watch.
-    pub fn watching_vm(&self, now: Duration, own: LocalVm) -> Option<SocketAddr> {
+    /// The VM of the local failure domain that watches the metadata store for the others, if it is
+    /// not this one. All VMs compute it from the messages that they receive, and a VM that the
+    /// store doesn't answer is skipped. While two VMs each consider themselves first, both get
+    /// `None`; this costs extra calls only. In a large fleet the delegates watch.
+    pub fn watching_vm(&self, now: Duration, local: LocalVm) -> Option<SocketAddr> {
         if self.is_large() {
-            return self.watching_delegate(now, own);
+            return self.watching_delegate(now, local);
         }
         let rows = self.rows.iter();
-        let fit = rows.filter(|(_, peer)| {
-            peer.domain == own.domain && peer.lives(now) && peer.store && !peer.draining
+        let eligible = rows.filter(|(_, peer)| {
+            peer.domain == local.domain
+                && peer.is_alive(now)
+                && peer.store_available
+                && !peer.draining
         });
-        let others = fit.clone().map(|(vm, _)| *vm);
-        let vms = others.chain(own.fit.then_some(own.vm));
+        let others = eligible.clone().map(|(vm, _)| *vm);
+        let vms = others.chain(local.fit.then_some(local.vm));
         let first = ranked(KEY_WATCHER, vms).first().copied()?;
-        let (_, peer) = fit.clone().find(|(vm, _)| **vm == first)?;
+        let (_, peer) = eligible.clone().find(|(vm, _)| **vm == first)?;
         peer.peer_address
     }
 
-    /// A delegate of the own failure domain that speaks, one that the store answers if there is one; `None` for
-    /// a delegate that is answered itself.
+    /// A living delegate of the local failure domain, preferably one that the store answers; `None`
+    /// for a delegate that the store answers itself.
     ///
-    /// The failure: the store is away, no delegate is answered, and 250 VMs go to the store in their place, each
-    /// several times a second, which is paid for and brings nothing. While a delegate speaks its VMs stay with it;
-    /// one that the store turns away passes on what the other failure domains know.
-    fn watching_delegate(&self, now: Duration, own: LocalVm) -> Option<SocketAddr> {
-        if self.is_delegate(own.vm) && own.fit {
+    /// VMs stay with a living delegate even if the store doesn't answer it. Without this, 250 VMs
+    /// would each call the store several times a second during an outage, which is billed and
+    /// returns nothing. Such a delegate still forwards what the other failure domains have.
+    fn watching_delegate(&self, now: Duration, local: LocalVm) -> Option<SocketAddr> {
+        if self.is_delegate(local.vm) && local.fit {
             return None;
         }
-        let delegates = self.delegates.iter().filter(|vm| **vm != own.vm);
-        let speakers = delegates.filter_map(|vm| self.domains.living_delegate(now, *vm));
-        let speakers: Vec<_> = speakers.filter(|speaker| !speaker.draining).collect();
-        let fit: Vec<_> = speakers.iter().filter(|speaker| speaker.store).collect();
-        if self.is_delegate(own.vm) || !fit.is_empty() {
-            return shared(own.vm, fit.iter().map(|speaker| speaker.peer_address));
+        let others = self.delegates.iter().filter(|vm| **vm != local.vm);
+        let living = others.filter_map(|vm| self.domains.living_delegate(now, *vm));
+        let living: Vec<_> = living.filter(|delegate| !delegate.draining).collect();
+        let with_store: Vec<_> = living
+            .iter()
+            .filter(|delegate| delegate.store_available)
+            .collect();
+        if self.is_delegate(local.vm) || !with_store.is_empty() {
+            return pick_address(
+                local.vm,
+                with_store.iter().map(|delegate| delegate.peer_address),
+            );
         }
-        shared(own.vm, speakers.iter().map(|speaker| speaker.peer_address))
+        pick_address(
+            local.vm,
+            living.iter().map(|delegate| delegate.peer_address),
+        )
     }
 
-    /// A living VM that knows newer rules or endpoints than these, and that `answers`; of the VMs that know as much, one
-    /// of the own failure domain, since bytes between failure domains are dear.
+    /// Living VMs with newer rules or endpoints than `known`, among those that `answers` accepts.
+    /// Of VMs with equal versions one of the local failure domain is preferred, since bytes between
+    /// failure domains are expensive.
     pub fn newer_peers(
         &self,
         now: Duration,
-        home: DomainId,
+        local_domain: DomainId,
         known: KnownVersions,
         answers: impl Fn(SocketAddr) -> bool,
     ) -> NewerPeers {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let heard = living.filter_map(|peer| {
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let from_heartbeats = living.filter_map(|peer| {
             let known = (peer.rules, peer.endpoints);
-            Some((known, peer.domain == home, peer.peer_address?))
+            Some((known, peer.domain == local_domain, peer.peer_address?))
         });
-        let speakers = self.domains.living_delegates(now);
-        let told = speakers.map(|one| {
-            let known = (one.rules, one.endpoints);
-            (known, one.domain == home, one.peer_address)
+        let delegates = self.domains.living_delegates(now);
+        let from_summaries = delegates.map(|delegate| {
+            let known = (delegate.rules, delegate.endpoints);
+            (
+                known,
+                delegate.domain == local_domain,
+                delegate.peer_address,
+            )
         });
-        let all = heard.chain(told);
+        let all = from_heartbeats.chain(from_summaries);
         let all: Vec<_> = all.filter(|(.., from)| answers(*from)).collect();
         let newest = all
             .iter()
-            .max_by_key(|((rules, _), near, _)| (*rules, *near));
+            .max_by_key(|((rules, _), is_local, _)| (*rules, *is_local));
         let latest = all
             .iter()
-            .max_by_key(|((_, endpoints), near, _)| (*endpoints, *near));
+            .max_by_key(|((_, endpoints), is_local, _)| (*endpoints, *is_local));
         NewerPeers {
             rules: newest
-                .filter(|((told, _), ..)| *told > known.rules)
+                .filter(|((reported, _), ..)| *reported > known.rules)
                 .map(|(.., from)| *from),
             endpoints: latest
-                .filter(|((_, told), ..)| *told > known.endpoints)
+                .filter(|((_, reported), ..)| *reported > known.endpoints)
                 .map(|(.., from)| *from),
         }
     }
 
-    /// A living VM that the metadata store answers: of those, the one heard last.
+    /// A living VM that the metadata store answers: the one with the latest heartbeat, else a
+    /// delegate.
     pub fn peer_with_store(&self, now: Duration) -> Option<SocketAddr> {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let reaching = living.filter(|peer| peer.store && !peer.draining);
-        let last = reaching.max_by_key(|peer| peer.heard_at);
-        let near = last.and_then(|peer| peer.peer_address);
-        near.or_else(|| {
-            let mut speakers = self.domains.living_delegates(now);
-            let one = speakers.find(|speaker| speaker.store && !speaker.draining);
-            one.map(|speaker| speaker.peer_address)
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let with_store = living.filter(|peer| peer.store_available && !peer.draining);
+        let latest = with_store.max_by_key(|peer| peer.last_heartbeat_at);
+        let address = latest.and_then(|peer| peer.peer_address);
+        address.or_else(|| {
+            let mut delegates = self.domains.living_delegates(now);
+            let delegate =
+                delegates.find(|delegate| delegate.store_available && !delegate.draining);
+            delegate.map(|delegate| delegate.peer_address)
         })
     }
 
-    /// Whether the metadata store has served a living VM for so long, by all that it said in that time.
+    /// Whether the metadata store has served a living VM for at least `time`, by all its messages
+    /// in that time.
     pub fn is_store_serving_for(&self, now: Duration, time: Duration) -> bool {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let near = living.filter_map(|peer| peer.store_since);
-        let speakers = self.domains.living_delegates(now);
-        let mut since = near.chain(speakers.filter_map(|speaker| speaker.store_since));
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let from_heartbeats = living.filter_map(|peer| peer.store_available_since);
+        let delegates = self.domains.living_delegates(now);
+        let mut since =
+            from_heartbeats.chain(delegates.filter_map(|delegate| delegate.store_available_since));
         since.any(|since| now >= since + time)
     }
 
-    /// The newest job record that a living VM has told of.
+    /// The newest job revision that a living VM has reported.
     pub fn newest_job_revision(&self, now: Duration) -> Revision {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let told = self.domains.living(now).map(|(_, told)| told.jobs);
-        let all = living.map(|peer| peer.jobs).chain(told);
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let from_summaries = self.domains.living(now).map(|(_, status)| status.jobs);
+        let all = living.map(|peer| peer.jobs).chain(from_summaries);
         all.max().unwrap_or(0)
     }
 }
 
-/// Place of `own` in the order of it and others, which all work out alike.
-fn place(own: u64, others: impl Iterator<Item = u64>) -> Option<usize> {
-    let order = ranked(KEY_PROVER, others.chain([own]));
-    order.iter().position(|id| *id == own)
+/// Rank of the local id among it and others, which is the same on all VMs.
+fn rank_among(local: u64, others: impl Iterator<Item = u64>) -> Option<usize> {
+    let order = ranked(KEY_REFRESH, others.chain([local]));
+    order.iter().position(|id| *id == local)
 }
 
-/// One of several addresses: half of the VMs ask one delegate, half the other.
-fn shared(vm: VmId, addresses: impl Iterator<Item = SocketAddr>) -> Option<SocketAddr> {
+/// One of several addresses: half of the VMs use one delegate, half the other.
+fn pick_address(vm: VmId, addresses: impl Iterator<Item = SocketAddr>) -> Option<SocketAddr> {
     let addresses: Vec<SocketAddr> = addresses.collect();
-    let at = vm as usize % addresses.len().max(1);
-    addresses.get(at).copied()
+    let index = vm as usize % addresses.len().max(1);
+    addresses.get(index).copied()
 }
--- a/src/decide/peers/waiting.rs
+++ b/src/decide/peers/waiting.rs
@@ -1,4 +1,4 @@
-//! What waits at the other VMs.
+//! Work that waits at the other VMs.
 
 use std::time::Duration;
 
@@ -8,68 +8,87 @@
 use crate::id::{DomainId, OwnerId, VmId};
 
 impl Peers {
-    /// Living VMs with batch items that wait for a slot; those of another failure domain that only its
-    /// delegate tells of as one.
-    pub fn competing_vms(&self, now: Duration, home: DomainId, own: VmId) -> Vec<CompetingVm> {
+    /// Living VMs with batch items that wait for a slot. A remote failure domain counts as one VM
+    /// if only its delegate reports it.
+    pub fn competing_vms(
+        &self,
+        now: Duration,
+        local_domain: DomainId,
+        local_vm: VmId,
+    ) -> Vec<CompetingVm> {
         let rows = self.rows.iter();
-        let heard = rows.filter(|(_, peer)| peer.lives(now) && peer.waiting > 0 && !peer.draining);
-        let heard = heard.map(|(vm, peer)| CompetingVm {
+        let living =
+            rows.filter(|(_, peer)| peer.is_alive(now) && peer.waiting > 0 && !peer.draining);
+        let living = living.map(|(vm, peer)| CompetingVm {
             vm: *vm,
             domain: peer.domain,
             items: peer.waiting,
         });
         if !self.is_large() {
-            return heard.collect();
+            return living.collect();
         }
-        let mut rivals: Vec<CompetingVm> = match self.receives_domain_heartbeats(own, home) {
-            true => heard.filter(|rival| rival.domain == home).collect(),
-            false => self.told_rivals(now, home),
-        };
-        let far = self
+        let mut competing: Vec<CompetingVm> =
+            match self.receives_domain_heartbeats(local_vm, local_domain) {
+                true => living
+                    .filter(|other| other.domain == local_domain)
+                    .collect(),
+                false => self.reported_competing_vms(now, local_domain),
+            };
+        let remote = self
             .domains
             .living(now)
-            .filter(|(domain, _)| *domain != home);
-        let far = far.filter(|(_, told)| told.waiting > 0);
-        rivals.extend(far.map(|(domain, told)| CompetingVm {
+            .filter(|(domain, _)| *domain != local_domain);
+        let remote = remote.filter(|(_, status)| status.waiting > 0);
+        competing.extend(remote.map(|(domain, status)| CompetingVm {
             vm: domain,
             domain,
-            items: told.waiting,
+            items: status.waiting,
         }));
-        rivals
+        competing
     }
 
-    /// VMs of a failure domain with items that wait, by its delegate's word.
-    fn told_rivals(&self, now: Duration, domain: DomainId) -> Vec<CompetingVm> {
-        let told = self.domains.status(now, domain);
-        let rivals = told.map_or(&[][..], |told| &told.rivals).iter();
-        let rival = |(vm, items): &(VmId, u32)| CompetingVm {
+    /// VMs of a failure domain with waiting items, as its delegate reports.
+    fn reported_competing_vms(&self, now: Duration, domain: DomainId) -> Vec<CompetingVm> {
+        let status = self.domains.status(now, domain);
+        let competing = status
+            .map_or(&[][..], |status| &status.competing_vms)
+            .iter();
+        let competing_vm = |(vm, items): &(VmId, u32)| CompetingVm {
             vm: *vm,
             domain,
             items: *items,
         };
-        rivals.map(rival).collect()
+        competing.map(competing_vm).collect()
     }
 
-    /// Whether the process with this owner id says itself what waits for it, or its delegate does.
+    /// Whether waiting work of the process with this owner id is reported, by itself or by its
+    /// delegate.
     pub fn reports_waiting(&self, now: Duration, owner: OwnerId) -> bool {
         let mut rows = self.rows.values();
         let peer = rows.find(|peer| peer.owner == owner);
         peer.is_some_and(|peer| {
-            let summed = self.is_large() && self.domains.status(now, peer.domain).is_some();
-            peer.lives(now) || (summed && peer.registered)
+            let summarized = self.is_large() && self.domains.status(now, peer.domain).is_some();
+            peer.is_alive(now) || (summarized && peer.registered)
         })
     }
 
-    /// Tokens that wait on a route at the other VMs, as those that live last said.
-    pub fn backlog(&self, now: Duration, route: RouteKey, home: DomainId, own: VmId) -> u64 {
-        let living = self.rows.values().filter(|peer| peer.lives(now));
-        let heard = living.flat_map(|peer| &peer.backlog);
-        let heard_home = self.receives_domain_heartbeats(own, home);
-        let told = self.domains.living(now);
-        let told = told.filter(|(domain, _)| *domain != home || !heard_home);
-        let told = told.flat_map(|(_, told)| &told.backlog);
-        heard
-            .chain(told)
+    /// Tokens that wait on a route at the other living VMs, as last reported.
+    pub fn backlog(
+        &self,
+        now: Duration,
+        route: RouteKey,
+        local_domain: DomainId,
+        local_vm: VmId,
+    ) -> u64 {
+        let living = self.rows.values().filter(|peer| peer.is_alive(now));
+        let from_heartbeats = living.flat_map(|peer| &peer.backlog);
+        let receives_heartbeats = self.receives_domain_heartbeats(local_vm, local_domain);
+        let summaries = self.domains.living(now);
+        let summaries =
+            summaries.filter(|(domain, _)| *domain != local_domain || !receives_heartbeats);
+        let summaries = summaries.flat_map(|(_, status)| &status.backlog);
+        from_heartbeats
+            .chain(summaries)
             .filter(|(of, _)| *of == route)
             .map(|(_, tokens)| tokens)
             .sum()
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -1,4 +1,4 @@
-//! What the other VMs have at each endpoint, as they last said.
+//! Use of each endpoint by the other VMs, as last reported.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,42 +7,44 @@
 
 use crate::id::{weight, EndpointId, VmId};
 
-/// What a VM said counts no longer than this: a VM that is gone must not keep slots from the others,
-/// and one that lives says it again three times within this time.
-pub const USE_LIFE: Duration = Duration::from_millis(1600);
+/// Time after which a report is dropped: a VM that is gone must not keep slots from the others, and
+/// a living one reports three times within this time.
+pub const USE_EXPIRES_AFTER: Duration = Duration::from_millis(1600);
 
-/// Parts of one word: 80 endpoints each, some hundreds of a failure domain.
-const PARTS_MAX: u8 = 16;
-/// A delegate's word on what to keep counts for so long: until its next round, of which one may be lost.
-const KEEP_LIFE: Duration = Duration::from_millis(500);
+/// Largest number of parts of a group report: 80 endpoints each, and a failure domain has some
+/// hundreds.
+const REPORT_PARTS_MAX: u8 = 16;
+/// Time after which item allowances from a delegate lapse; long enough for one lost round.
+const ALLOWANCE_EXPIRES_AFTER: Duration = Duration::from_millis(500);
 
 /// One VM's requests at one endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndpointUse {
     pub online: u16,
     pub batch: u16,
-    /// Those of `batch` that would miss their due time if they had to make way now.
+    /// Those of `batch` that would miss their due time if they were preempted now.
     pub urgent: u16,
 }
 
 #[derive(Debug, Clone)]
-struct Said {
+struct UseReport {
     at: Duration,
-    /// Invariant: each of these is counted in the sum of its endpoint.
+    /// Invariant: each of these is included in the sum of its endpoint.
     uses: Vec<(EndpointId, RemoteUse)>,
 }
 
-/// The others' use of endpoints.
+/// Use of endpoints by the other VMs.
 #[derive(Debug, Default)]
 pub struct Usage {
     /// By VM, or by part of a failure domain's summary.
-    rows: HashMap<u64, Said>,
-    /// Kept up with `rows`: routing and placing ask for every endpoint, and adding up what 50 VMs
-    /// say of 60 endpoints at each of 500 heartbeats a second took more than all requests did.
+    reports: HashMap<u64, UseReport>,
+    /// Kept up to date with `reports`: routing and placement read the sum of every endpoint, and
+    /// adding up the counts of 50 VMs at 60 endpoints with each of 500 heartbeats a second took
+    /// more time than all requests did.
     sums: HashMap<EndpointId, RemoteUse>,
-    /// Items that this VM may keep at endpoints that have too much, by its delegate's word.
-    keeps: HashMap<EndpointId, u32>,
-    kept_at: Duration,
+    /// Items that this VM may keep at endpoints over their limit, from its delegate.
+    allowances: HashMap<EndpointId, u32>,
+    allowances_at: Duration,
 }
 
 /// Use of one endpoint by several other VMs.
@@ -56,8 +58,8 @@
 }
 
 impl RemoteUse {
-    /// One VM's use.
-    pub fn of(one: &EndpointUse) -> RemoteUse {
+    /// The use by one VM.
+    pub fn from_use(one: &EndpointUse) -> RemoteUse {
         RemoteUse {
             online: u32::from(one.online),
             batch: u32::from(one.batch),
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Counts another use in.
+    /// Adds another use.
     pub fn add(&mut self, one: &RemoteUse) {
         self.online += one.online;
         self.batch += one.batch;
@@ -74,8 +76,8 @@
         self.online_users += one.online_users;
     }
 
-    /// Takes out what was counted in.
-    pub fn take(&mut self, one: &RemoteUse) {
+    /// Subtracts a use that was added before.
+    pub fn subtract(&mut self, one: &RemoteUse) {
         self.online -= one.online;
         self.batch -= one.batch;
         self.urgent -= one.urgent;
@@ -84,8 +86,8 @@
 }
 
 impl Usage {
-    /// Takes all that a VM has in flight, and returns the endpoints of this word and of its last one. An
-    /// endpoint is named once.
+    /// Replaces a VM's in-flight requests, and returns the endpoints of this report and of its
+    /// previous one. An endpoint occurs once in `uses`.
     pub fn apply_report(
         &mut self,
         now: Duration,
@@ -93,10 +95,14 @@
         uses: impl IntoIterator<Item = (EndpointId, EndpointUse)>,
     ) -> Vec<EndpointId> {
         let uses = uses.into_iter();
-        self.apply_group_report(now, vm, uses.map(|(id, one)| (id, RemoteUse::of(&one))))
+        self.apply_group_report(
+            now,
+            vm,
+            uses.map(|(id, one)| (id, RemoteUse::from_use(&one))),
+        )
     }
 
-    /// The same for several VMs at once, under whatever id they are told of together.
+    /// Like [`Usage::apply_report`] for several VMs at once, under the id of the group.
     pub fn apply_group_report(
         &mut self,
         now: Duration,
@@ -107,16 +113,17 @@
         for (endpoint, one) in &uses {
             self.sums.entry(*endpoint).or_default().add(one);
         }
-        let mut touched: Vec<EndpointId> = uses.iter().map(|(endpoint, _)| *endpoint).collect();
-        if let Some(before) = self.rows.insert(source, Said { at: now, uses }) {
-            self.uncount(&before);
-            touched.extend(before.uses.iter().map(|(endpoint, _)| *endpoint));
+        let mut changed: Vec<EndpointId> = uses.iter().map(|(endpoint, _)| *endpoint).collect();
+        if let Some(previous) = self.reports.insert(source, UseReport { at: now, uses }) {
+            self.subtract_report(&previous);
+            changed.extend(previous.uses.iter().map(|(endpoint, _)| *endpoint));
         }
-        touched
+        changed
     }
 
-    /// The same for one part of what is told of VMs together, under the id `source`; `parts` tells how many there
-    /// are now, so that what an earlier, longer word said in further parts counts no longer.
+    /// Like [`Usage::apply_group_report`] for one part of a group's report, under the id `source`;
+    /// `parts` is their current number, so that further parts of an earlier, longer report are
+    /// dropped.
     pub fn apply_group_part(
         &mut self,
         now: Duration,
@@ -125,32 +132,33 @@
         uses: impl IntoIterator<Item = (EndpointId, RemoteUse)>,
     ) -> Vec<EndpointId> {
         let id = |part: u8| weight(source, u64::from(part));
-        let mut touched = self.apply_group_report(now, id(part), uses);
-        let over = (parts..PARTS_MAX).filter(|part| self.rows.contains_key(&id(*part)));
-        for part in over.collect::<Vec<u8>>() {
-            touched.extend(self.apply_group_report(now, id(part), []));
+        let mut changed = self.apply_group_report(now, id(part), uses);
+        let dropped =
+            (parts..REPORT_PARTS_MAX).filter(|part| self.reports.contains_key(&id(*part)));
+        for part in dropped.collect::<Vec<u8>>() {
+            changed.extend(self.apply_group_report(now, id(part), []));
         }
-        touched
+        changed
     }
 
-    /// Forgets what is too old.
+    /// Drops expired reports.
     pub fn tick(&mut self, now: Duration) {
-        let old = |said: &Said| now >= said.at + USE_LIFE;
-        let gone = self.rows.iter().filter(|(_, said)| old(said));
-        let gone: Vec<VmId> = gone.map(|(vm, _)| *vm).collect();
-        for vm in gone {
-            if let Some(said) = self.rows.remove(&vm) {
-                self.uncount(&said);
+        let expired = |report: &UseReport| now >= report.at + USE_EXPIRES_AFTER;
+        let expired_ids = self.reports.iter().filter(|(_, report)| expired(report));
+        let expired_ids: Vec<VmId> = expired_ids.map(|(source, _)| *source).collect();
+        for source in expired_ids {
+            if let Some(report) = self.reports.remove(&source) {
+                self.subtract_report(&report);
             }
         }
     }
 
-    fn uncount(&mut self, said: &Said) {
-        for (endpoint, one) in &said.uses {
+    fn subtract_report(&mut self, report: &UseReport) {
+        for (endpoint, one) in &report.uses {
             let Some(sum) = self.sums.get_mut(endpoint) else {
                 continue;
             };
-            sum.take(one);
+            sum.subtract(one);
             if *sum == RemoteUse::default() {
                 self.sums.remove(endpoint);
             }
@@ -162,47 +170,47 @@
         self.sums.get(&endpoint).copied().unwrap_or_default()
     }
 
-    /// VMs with batch work at an endpoint; those that are told of together count as one.
+    /// VMs with batch work at an endpoint; a group that is reported as one counts as one.
     pub fn batch_users(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
-        let of = |(vm, said): (&VmId, &Said)| {
+        let of = |(vm, report): (&VmId, &UseReport)| {
             let at = |(at, _): &&(EndpointId, RemoteUse)| *at == endpoint;
-            let batch = said.uses.iter().find(at).map_or(0, |(_, one)| one.batch);
+            let batch = report.uses.iter().find(at).map_or(0, |(_, one)| one.batch);
             (batch > 0).then_some((*vm, batch))
         };
-        self.rows.iter().filter_map(of).collect()
+        self.reports.iter().filter_map(of).collect()
     }
 
-    /// What one VM last said.
+    /// The use that one VM last reported.
     pub fn uses_of_vm(&self, vm: VmId) -> Vec<(EndpointId, RemoteUse)> {
-        let said = self.rows.get(&vm);
-        said.map_or_else(Vec::new, |said| said.uses.clone())
+        let report = self.reports.get(&vm);
+        report.map_or_else(Vec::new, |report| report.uses.clone())
     }
 
-    /// Takes a delegate's word on how many items this VM may keep at endpoints that have too much.
+    /// Sets how many items this VM may keep at endpoints over their limit, from its delegate.
     pub fn set_item_allowance(
         &mut self,
         now: Duration,
-        keeps: impl IntoIterator<Item = (EndpointId, u32)>,
+        allowances: impl IntoIterator<Item = (EndpointId, u32)>,
     ) {
-        self.keeps = keeps.into_iter().collect();
-        self.kept_at = now;
+        self.allowances = allowances.into_iter().collect();
+        self.allowances_at = now;
     }
 
-    /// How many items this VM may keep at an endpoint; `None` where nobody has said so of late.
+    /// How many items this VM may keep at an endpoint; `None` without a current allowance.
     pub fn item_allowance(&self, now: Duration, endpoint: EndpointId) -> Option<u32> {
-        let fresh = now < self.kept_at + KEEP_LIFE;
-        self.keeps.get(&endpoint).copied().filter(|_| fresh)
+        let fresh = now < self.allowances_at + ALLOWANCE_EXPIRES_AFTER;
+        self.allowances.get(&endpoint).copied().filter(|_| fresh)
     }
 }
 
-/// How many of its `own` items a VM takes back when `excess` of all VMs' items have to go.
+/// How many of its `local` items a VM has to give up when all VMs together give up `excess`.
 ///
-/// Every VM works it out from the same counts: the one with the most gives one up at a time, the
-/// higher id first among equals. So together they give up `excess`, and not each of them as many.
-pub fn own_excess(excess: u32, own: (VmId, u32), others: &[(VmId, u32)]) -> u32 {
+/// Every VM computes it from the same counts: the VM with the most items gives up one at a time,
+/// the higher id first among equals. Together they give up `excess`, instead of that number each.
+pub fn own_excess(excess: u32, local: (VmId, u32), others: &[(VmId, u32)]) -> u32 {
     let mut counts: Vec<(u32, VmId)> = others.iter().map(|(vm, count)| (*count, *vm)).collect();
-    counts.push((own.1, own.0));
-    let mut given = 0;
+    counts.push((local.1, local.0));
+    let mut local_excess = 0;
     for _ in 0..excess {
         let Some(most) = counts.iter_mut().max() else {
             break;
@@ -211,7 +219,7 @@
             break;
         }
         most.0 -= 1;
-        given += u32::from(most.1 == own.0);
+        local_excess += u32::from(most.1 == local.0);
     }
-    given
+    local_excess
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -20,7 +20,7 @@
     endpoints: Endpoints,
     up: bool,
     paused_until: Duration,
-    /// Every version that was ever in force, in order.
+    /// Every version that was in force, in order.
     versions: Vec<u64>,
 }
 
@@ -29,11 +29,11 @@
     now: Duration,
     loss: f64,
     vms: Vec<Vm>,
-    wires: Vec<(Duration, usize, Heartbeat)>,
-    /// Pairs that can't reach each other, in this direction.
+    in_flight: Vec<(Duration, usize, Heartbeat)>,
+    /// Pairs of VMs; datagrams from the first to the second are lost.
     cuts: Vec<(usize, usize)>,
     removals: u32,
-    /// What the endpoint says.
+    /// Report of every endpoint.
     report: EndpointReport,
     bytes: u64,
 }
@@ -42,7 +42,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1000 + at as u16))
 }
 
-fn card(at: usize, domains: usize, incarnation: u64) -> VmStatus {
+fn status(at: usize, domains: usize, incarnation: u64) -> VmStatus {
     let name = format!("vm-{at}");
     VmStatus {
         vm: id::of(&name),
@@ -66,10 +66,10 @@
 
 impl World {
     fn new(seed: u64, vms: usize, domains: usize, count: usize, loss: f64) -> World {
-        let cards: Vec<VmStatus> = (0..vms).map(|at| card(at, domains, 1)).collect();
-        let fresh = |at: usize| {
-            let mut fleet = Fleet::new(cards[at].clone());
-            fleet.members.apply_vm_list(&cards[at], cards.clone());
+        let statuses: Vec<VmStatus> = (0..vms).map(|at| status(at, domains, 1)).collect();
+        let new_vm = |at: usize| {
+            let mut fleet = Fleet::new(statuses[at].clone());
+            fleet.members.apply_vm_list(&statuses[at], statuses.clone());
             Vm {
                 fleet,
                 endpoints: endpoints(count, domains),
@@ -82,8 +82,8 @@
             rng: SmallRng::seed_from_u64(seed),
             now: Duration::ZERO,
             loss,
-            vms: (0..vms).map(fresh).collect(),
-            wires: Vec::new(),
+            vms: (0..vms).map(new_vm).collect(),
+            in_flight: Vec::new(),
             cuts: Vec::new(),
             removals: 0,
             report: EndpointReport {
@@ -107,8 +107,8 @@
         self.now += STEP;
         let due: Vec<_> = {
             let now = self.now;
-            let (due, later) = self.wires.drain(..).partition(|(at, ..)| *at <= now);
-            self.wires = later;
+            let (due, later) = self.in_flight.drain(..).partition(|(at, ..)| *at <= now);
+            self.in_flight = later;
             due
         };
         for (_, to, heartbeat) in due {
@@ -117,7 +117,7 @@
                 let vm = &mut self.vms[to];
                 vm.fleet
                     .apply_heartbeat(self.now, heartbeat, &mut vm.endpoints, &mut out);
-                self.perform(to, out);
+                self.apply_actions(to, out);
             }
         }
         for at in 0..self.vms.len() {
@@ -125,7 +125,7 @@
                 let mut out = Vec::new();
                 let vm = &mut self.vms[at];
                 vm.fleet.tick(self.now, &mut vm.endpoints, &mut out);
-                self.perform(at, out);
+                self.apply_actions(at, out);
             }
         }
     }
@@ -134,7 +134,7 @@
         self.vms[at].up && self.vms[at].paused_until <= self.now
     }
 
-    fn perform(&mut self, from: usize, actions: Vec<Action>) {
+    fn apply_actions(&mut self, from: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, heartbeat } => {
@@ -142,9 +142,12 @@
                     self.bytes += 1;
                     let lost = self.rng.random_bool(self.loss) || self.cuts.contains(&(from, to));
                     if !lost {
-                        let late = self.rng.random_range(1..150);
-                        self.wires
-                            .push((self.now + Duration::from_millis(late), to, heartbeat));
+                        let delay_ms = self.rng.random_range(1..150);
+                        self.in_flight.push((
+                            self.now + Duration::from_millis(delay_ms),
+                            to,
+                            heartbeat,
+                        ));
                     }
                 }
                 Action::FetchConfig { from: peer, .. } => {
@@ -166,29 +169,29 @@
         }
     }
 
-    fn run_for(&mut self, time: Duration) {
-        let until = self.now + time;
+    fn run_for(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             self.step();
         }
     }
 
-    /// Whether `at` counts `other` among the living.
-    fn sees(&self, at: usize, other: usize) -> bool {
+    /// Whether `at` counts `other` as alive.
+    fn counts_alive(&self, at: usize, other: usize) -> bool {
         let members = &self.vms[at].fleet.members.rows;
         let row = members.get(&self.vms[other].fleet.card.vm);
         row.is_some_and(|row| row.alive(self.now))
     }
 
-    fn watch_removals(&mut self, time: Duration) {
-        let mut seen: BTreeMap<(usize, usize), bool> = BTreeMap::new();
-        let until = self.now + time;
+    fn watch_removals(&mut self, duration: Duration) {
+        let mut alive_before: BTreeMap<(usize, usize), bool> = BTreeMap::new();
+        let until = self.now + duration;
         while self.now < until {
             self.step();
             for at in 0..self.vms.len() {
                 for other in 0..self.vms.len() {
-                    let now = at == other || self.sees(at, other);
-                    if seen.insert((at, other), now) == Some(true) && !now {
+                    let alive = at == other || self.counts_alive(at, other);
+                    if alive_before.insert((at, other), alive) == Some(true) && !alive {
                         self.removals += 1;
                     }
                 }
@@ -197,8 +200,8 @@
     }
 }
 
-// One datagram in twenty is lost, for an hour. No living VM is taken out of use: that would need
-// six losses in a row on one way.
+// One datagram in twenty is lost for an hour. No living VM is taken out of use: that needs six
+// losses in a row on one link.
 #[test]
 fn no_false_removal() {
     let mut world = World::new(1, 12, 1, 0, 0.05);
@@ -207,20 +210,20 @@
     assert_eq!(world.removals, 0);
 }
 
-// A VM dies. Within three seconds no other one counts on it, although the platform's list, which
-// lags, still has it.
+// A VM dies. Within three seconds no other VM counts it as alive, although the platform's list,
+// which lags, still has it.
 #[test]
 fn dead_removed() {
     let mut world = World::new(2, 12, 1, 0, 0.05);
     world.run_for(Duration::from_secs(5));
     world.vms[3].up = false;
     world.run_for(Duration::from_secs(3));
-    assert!((0..12).all(|at| at == 3 || !world.sees(at, 3)));
+    assert!((0..12).all(|at| at == 3 || !world.counts_alive(at, 3)));
 }
 
-// An endpoint says that it is leaving. One poller hears it; within two seconds every VM of the
-// failure domain, and by the delegates of the others, sends nothing there. A late report of the
-// same incarnation without the mark does not bring it back, a new incarnation does.
+// An endpoint reports that it is leaving to one poller. Within two seconds no VM of its failure
+// domain sends requests to it, and the other domains follow through the delegates. A late report of
+// the same incarnation that lacks the flag doesn't bring it back, a new incarnation does.
 #[test]
 fn leaving_spreads() {
     for seed in 0..20 {
@@ -230,77 +233,78 @@
         world.run_for(Duration::from_millis(500));
         world.report.leaving = false;
         world.run_for(Duration::from_millis(1500));
-        let gone = |world: &World| {
+        let unused_locally = |world: &World| {
             world.vms.iter().all(|vm| {
                 let domain = vm.fleet.card.domain;
-                let own = vm
+                let local = vm
                     .endpoints
                     .rows
                     .iter()
                     .filter(|row| row.declared.domain == domain);
-                own.into_iter().all(|row| !row.usable(world.now))
+                local.into_iter().all(|row| !row.usable(world.now))
             })
         };
-        assert!(gone(&world), "seed {seed}");
+        assert!(unused_locally(&world), "seed {seed}");
         world.run_for(Duration::from_secs(10));
-        assert!(gone(&world), "seed {seed}: it came back");
-        let everywhere = |vm: &Vm, usable: bool| {
+        assert!(unused_locally(&world), "seed {seed}: it came back");
+        let all_endpoints = |vm: &Vm, usable: bool| {
             vm.endpoints
                 .rows
                 .iter()
                 .all(|row| row.usable(world.now) == usable)
         };
         assert!(
-            world.vms.iter().all(|vm| everywhere(vm, false)),
+            world.vms.iter().all(|vm| all_endpoints(vm, false)),
             "seed {seed}: other domains"
         );
         world.report.incarnation = 2;
         world.run_for(Duration::from_secs(10));
-        let back = world
+        let used_again = world
             .vms
             .iter()
             .all(|vm| vm.endpoints.rows.iter().all(|row| row.usable(world.now)));
-        assert!(back, "seed {seed}: the new incarnation is not used");
+        assert!(used_again, "seed {seed}: the new incarnation is not used");
     }
 }
 
 // A VM is replaced by a new one with the same id while the old one is only paused. The new one's
-// heartbeats count; the old one's, when it wakes, don't, and it is told to stop.
+// heartbeats are applied; when the old one resumes, its heartbeats are dropped and it is told to
+// stop.
 #[test]
 fn reused_id() {
-    let own = card(0, 1, 1);
+    let local = status(0, 1, 1);
     let mut members = Members::default();
     let second = Duration::from_secs(1);
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 5), 100),
-        HeartbeatOutcome::Taken
+        members.apply_heartbeat(second, &local, status(1, 1, 5), 100),
+        HeartbeatOutcome::Applied
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 6), 1),
-        HeartbeatOutcome::Taken
+        members.apply_heartbeat(second, &local, status(1, 1, 6), 1),
+        HeartbeatOutcome::Applied
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 5), 101),
+        members.apply_heartbeat(second, &local, status(1, 1, 5), 101),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(1, 1, 6), 1),
+        members.apply_heartbeat(second, &local, status(1, 1, 6), 1),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(0, 1, 2), 1),
+        members.apply_heartbeat(second, &local, status(0, 1, 2), 1),
         HeartbeatOutcome::Superseded
     );
     assert_eq!(
-        members.apply_heartbeat(second, &own, card(0, 1, 0), 1),
+        members.apply_heartbeat(second, &local, status(0, 1, 0), 1),
         HeartbeatOutcome::Stale
     );
 }
 
 quickcheck! {
-    // VMs are cut off from each other one way, pause and wake, restart with nothing, while operators
-    // apply versions at one VM or another. No VM ever goes back within an incarnation, and once the
-    // cuts are healed all have the newest version within seconds.
+    // VMs are cut off from each other in one direction, pause and resume, while operators apply
+    // versions at one VM or another. No VM goes back to an older version within an incarnation, and
+    // once the cuts are healed all have the newest version within seconds.
     fn versions_only_rise(seed: u64) -> bool {
         let mut world = World::new(seed, 6, 2, 0, 0.1);
         let mut newest = 0;
@@ -330,7 +334,7 @@
         world.vms.iter().all(|vm| rising(&vm.versions) && vm.fleet.card.config == newest)
     }
 
-    // After any cuts and pauses, all VMs of a failure domain agree on an endpoint's home again.
+    // After any cuts, all VMs of a failure domain agree on an endpoint's assigned VM again.
     fn homes_agree(seed: u64) -> bool {
         let mut world = World::new(seed, 5, 1, 3, 0.05);
         for _ in 0..20 {
@@ -340,11 +344,11 @@
         }
         world.cuts.clear();
         world.run_for(Duration::from_secs(5));
-        let homes = |vm: &Vm| -> Vec<_> {
+        let assigned_vms = |vm: &Vm| -> Vec<_> {
             let rows = vm.endpoints.rows.iter();
             rows.map(|row| vm.fleet.assigned_vm(row.id)).collect()
         };
-        let first = homes(&world.vms[0]);
-        world.vms.iter().all(|vm| homes(vm) == first)
+        let first = assigned_vms(&world.vms[0]);
+        world.vms.iter().all(|vm| assigned_vms(vm) == first)
     }
 }
--- a/tests/proof_ages.rs
+++ b/tests/proof_ages.rs
@@ -1,4 +1,4 @@
-//! How old the store's word is, by own calls and by what other VMs tell.
+//! Confirmation ages, from local store calls and from peers' reports.
 
 use std::time::Duration;
 
@@ -8,59 +8,60 @@
     Duration::from_secs(count)
 }
 
-const ALL: VersionsMatch = VersionsMatch {
+const ALL_MATCH: VersionsMatch = VersionsMatch {
     rules: true,
     endpoints: true,
 };
 
-fn told(rules_ms: u32) -> ConfirmationAges {
+fn rules_age(rules_ms: u32) -> ConfirmationAges {
     ConfirmationAges {
         rules_ms: Some(rules_ms),
         endpoints_ms: None,
     }
 }
 
-// Callers' jobs wait while the store is asked for all of them by each of 250 VMs. The store was away for long, its calls
-// are answered again, and the VM that watches for the others has not read all anew yet; it must not send them to the
-// store. One that has been answered for long and heard nothing does. Proved by the logs of a day with an outage: 29 of 57 VMs
-// of one failure domain were sent away in the second after it, and read all records.
+// Guards against 250 VMs that each read all jobs from the store while callers' jobs wait. After a
+// long outage the store answers again, but the watching VM has not read everything anew yet: it
+// must not send the others to the store. A watching VM that has been answered for long without a
+// confirmation does. In the logs of a day with an outage, 29 of 57 VMs of one failure domain were
+// sent away in the second after it, and read all records.
 #[test]
 fn behind_after_outage() {
-    let mut proofs = Freshness::default();
-    assert!(!proofs.is_live_stale(secs(10), None));
-    proofs.confirm(StoreSubject::Live, secs(10));
-    assert!(!proofs.is_live_stale(secs(11), None));
-    assert!(!proofs.is_live_stale(secs(18), Some(Duration::from_millis(100))));
-    assert!(!proofs.is_live_stale(secs(18), Some(secs(2))));
-    assert!(proofs.is_live_stale(secs(18), Some(secs(5))));
-    assert!(proofs.is_live_stale(secs(18), None));
+    let mut freshness = Freshness::default();
+    assert!(!freshness.is_live_stale(secs(10), None));
+    freshness.confirm(StoreSubject::Live, secs(10));
+    assert!(!freshness.is_live_stale(secs(11), None));
+    assert!(!freshness.is_live_stale(secs(18), Some(Duration::from_millis(100))));
+    assert!(!freshness.is_live_stale(secs(18), Some(secs(2))));
+    assert!(freshness.is_live_stale(secs(18), Some(secs(5))));
+    assert!(freshness.is_live_stale(secs(18), None));
 }
 
-// A VM that is behind takes the word of one that knows more as proof of what it knows itself, and refuses a route that
-// was added.
+// Guards against a VM that takes a newer peer's confirmation for one of its own older rules, and
+// refuses a route that was added.
 #[test]
 fn proof_of_more() {
-    let mut proofs = Freshness::default();
+    let mut freshness = Freshness::default();
     let behind = VersionsMatch {
         rules: false,
         endpoints: true,
     };
-    proofs.confirm_by_peer(secs(10), told(100), behind);
-    assert!(!proofs.are_rules_fresh(secs(10)));
-    proofs.confirm_by_peer(secs(10), told(100), ALL);
-    assert!(proofs.are_rules_fresh(secs(10)));
-    assert!(!proofs.are_rules_fresh(secs(12)));
+    freshness.confirm_by_peer(secs(10), rules_age(100), behind);
+    assert!(!freshness.are_rules_fresh(secs(10)));
+    freshness.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
+    assert!(freshness.are_rules_fresh(secs(10)));
+    assert!(!freshness.are_rules_fresh(secs(12)));
 }
 
-// What others told is not told on: the word would seem younger with each way it takes.
+// A confirmation from a peer is not forwarded: it would seem younger with each hop.
 #[test]
 fn not_told_on() {
-    let mut proofs = Freshness::default();
-    proofs.confirm_by_peer(secs(10), told(100), ALL);
+    let mut freshness = Freshness::default();
+    freshness.confirm_by_peer(secs(10), rules_age(100), ALL_MATCH);
     assert_eq!(
-        proofs.own_confirmation_ages(secs(10)),
+        freshness.own_confirmation_ages(secs(10)),
         ConfirmationAges::default()
     );
-    proofs.confirm(StoreSubject::Rules, secs(9));
-    assert_eq!(proofs.own_confirmation_ages(secs(10)), told(1000));
+    freshness.confirm(StoreSubject::Rules, secs(9));
+    assert_eq!(freshness.own_confirmation_ages(secs(10)), rules_age(1000));
 }
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -1,4 +1,4 @@
-//! What is known of the other VMs from their heartbeats and registrations.
+//! State of the other VMs, from their heartbeats and registrations.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,7 +13,7 @@
     SocketAddr::from(([127, 0, 0, 1], 1))
 }
 
-fn beat(owner: u64, sequence: u64) -> Heartbeat {
+fn heartbeat(owner: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         name: "vm-b".into(),
         domain: 1,
@@ -37,8 +37,8 @@
     Duration::from_millis(count)
 }
 
-// All processes are killed at once and start again. Their jobs would wait for 1.5 s, as if the processes
-// before might still live, although those that took their place are heard.
+// All processes are killed at once and start again. Their jobs must not wait 1.5 s for the previous
+// processes, whose successors already send heartbeats.
 #[test]
 fn restarted_vm() {
     let mut peers = Peers::default();
@@ -53,12 +53,12 @@
     peers.apply_registrations(ms(0), OWN, &[registered]);
     assert!(peers.is_owner_alive(ms(0), OWN.1, 7));
     assert!(!peers.is_replaced(7));
-    peers.apply_heartbeat(ms(100), address(), &beat(8, 1));
+    peers.apply_heartbeat(ms(100), address(), &heartbeat(8, 1));
     assert!(!peers.is_owner_alive(ms(100), OWN.1, 7));
     assert!(peers.is_replaced(7));
 }
 
-// A VM comes back and finds its own registration of before: that process was its own, and is gone.
+// A restarted VM finds the registration of its own previous process, which is gone for certain.
 #[test]
 fn own_past() {
     let mut peers = Peers::default();
@@ -74,64 +74,67 @@
     assert!(peers.is_replaced(7));
 }
 
-// A datagram of the process before arrives late. The one that runs counts as alive again with its next word.
+// A datagram of the previous process arrives late. The running one counts as alive again with its
+// next heartbeat.
 #[test]
 fn late_datagram() {
     let mut peers = Peers::default();
-    peers.apply_heartbeat(ms(0), address(), &beat(7, 40));
-    peers.apply_heartbeat(ms(100), address(), &beat(8, 1));
-    peers.apply_heartbeat(ms(110), address(), &beat(7, 41));
-    peers.apply_heartbeat(ms(200), address(), &beat(8, 2));
+    peers.apply_heartbeat(ms(0), address(), &heartbeat(7, 40));
+    peers.apply_heartbeat(ms(100), address(), &heartbeat(8, 1));
+    peers.apply_heartbeat(ms(110), address(), &heartbeat(7, 41));
+    peers.apply_heartbeat(ms(200), address(), &heartbeat(8, 2));
     assert!(peers.is_owner_alive(ms(200), OWN.1, 8));
     assert!(!peers.is_replaced(8));
     assert!(peers.is_replaced(7));
 }
 
-// A VM that is cut off takes the store for away, and keeps engines that have left. What tells it otherwise is a VM
-// that has said of itself, without a break, that the store serves it.
+// Guards against a VM that is cut off, takes the store for unavailable, and keeps using engines
+// that have left. A peer whose heartbeats have reported an available store without a break shows
+// that it is available.
 #[test]
 fn served_meanwhile() {
     let mut peers = Peers::default();
-    let mut said = |at: u64, sequence: u64, store: bool| {
-        let beat = Heartbeat {
+    let mut is_serving = |at: u64, sequence: u64, store: bool| {
+        let message = Heartbeat {
             store,
-            ..beat(200, sequence)
+            ..heartbeat(200, sequence)
         };
-        peers.apply_heartbeat(ms(at), address(), &beat);
+        peers.apply_heartbeat(ms(at), address(), &message);
         peers.is_store_serving_for(ms(at), ms(1000))
     };
-    assert!(!said(0, 1, true));
-    assert!(said(1000, 2, true));
-    assert!(!said(1500, 3, false));
-    assert!(!said(2000, 4, true));
-    assert!(said(3000, 5, true));
-    // It was not heard for too long to know what it would have said.
-    assert!(!said(9000, 6, true));
+    assert!(!is_serving(0, 1, true));
+    assert!(is_serving(1000, 2, true));
+    assert!(!is_serving(1500, 3, false));
+    assert!(!is_serving(2000, 4, true));
+    assert!(is_serving(3000, 5, true));
+    // A gap in the heartbeats ends the unbroken time.
+    assert!(!is_serving(9000, 6, true));
 }
 
-// A VM serves by old rules although others know the new ones: the one that it hears of them from is frozen, or the way to
-// it is cut one way, and it asks that one again and again. One that did not answer is passed over for another.
+// Guards against a VM that keeps old rules because it asks the same peer for newer ones again and
+// again, while that peer is frozen or the link to it is cut in one direction. A peer that did not
+// answer is skipped.
 #[test]
 fn asks_another() {
     let mut peers = Peers::default();
-    let newer = |name: &str, owner| Heartbeat {
+    let newer_heartbeat = |name: &str, owner| Heartbeat {
         name: name.into(),
         rules: 5,
-        ..beat(owner, 1)
+        ..heartbeat(owner, 1)
     };
-    let far = SocketAddr::from(([127, 0, 0, 2], 1));
-    peers.apply_heartbeat(ms(0), address(), &newer("vm-b", 7));
-    peers.apply_heartbeat(ms(0), far, &newer("vm-c", 8));
-    let ahead = |answers: &dyn Fn(SocketAddr) -> bool| {
+    let other_address = SocketAddr::from(([127, 0, 0, 2], 1));
+    peers.apply_heartbeat(ms(0), address(), &newer_heartbeat("vm-b", 7));
+    peers.apply_heartbeat(ms(0), other_address, &newer_heartbeat("vm-c", 8));
+    let newer_peer = |answers: &dyn Fn(SocketAddr) -> bool| {
         let known = KnownVersions {
             rules: 1,
             endpoints: 1,
         };
-        let asked = peers.newer_peers(ms(10), 1, known, answers).rules;
-        asked.map(|asked| asked.ip())
+        let address = peers.newer_peers(ms(10), 1, known, answers).rules;
+        address.map(|address| address.ip())
     };
-    let first = ahead(&|_| true).unwrap();
-    let second = ahead(&|asked| asked.ip() != first).unwrap();
+    let first = newer_peer(&|_| true).unwrap();
+    let second = newer_peer(&|address| address.ip() != first).unwrap();
     assert_ne!(first, second);
-    assert_eq!(ahead(&|_| false), None);
+    assert_eq!(newer_peer(&|_| false), None);
 }
