--- a/src/serve/ask.rs
+++ b/src/serve/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to other VMs, by TCP.
+//! Requests to other VMs, by TCP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::replies::{self, Reply};
 use crate::wire;
 
-/// Why another VM brought no answer.
+/// Why a request to another VM failed.
 #[derive(Debug, Snafu)]
 pub enum AskError {
     #[snafu(display("{source}"), context(false))]
@@ -34,7 +34,7 @@
     Late { source: tokio::time::error::Elapsed },
 }
 
-/// Asks another VM; `body` is sealed, or empty where the path says all.
+/// Sends a request to another VM; `body` is sealed, or empty where the path says all.
 pub async fn ask<T: DeserializeOwned>(
     node: &Node,
     to: SocketAddr,
@@ -57,7 +57,7 @@
     Ok(node.key.open(&sealed)?)
 }
 
-/// The answer to such a question.
+/// The answer to a request of another VM.
 pub fn reply(sealed: Result<Vec<u8>, wire::Error>) -> Reply {
     match sealed {
         Ok(sealed) => replies::bytes(sealed.into()),
--- a/src/serve/delegate.rs
+++ b/src/serve/delegate.rs
@@ -1,5 +1,5 @@
-//! A delegate's part in a large fleet: it sums up what the VMs of its failure domain say of themselves, and
-//! tells them and the delegates of the other failure domains.
+//! A delegate's work in a large fleet: it aggregates the heartbeats of the VMs of its failure
+//! domain and sends the summary to them and to the delegates of the other failure domains.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,11 +15,11 @@
 use crate::decide::quota::CountSource;
 use crate::id::VmId;
 
-/// Time between two words to VMs whose items are to make way. Without them a burst of online requests stands
-/// behind the items for up to a round.
+/// Time between two prompt summaries to VMs whose items are to be preempted. Without them a burst
+/// of online requests waits behind the items for up to a summary round.
 const PRESSED_PAUSE: Duration = Duration::from_millis(40);
 
-/// Speaks while this VM is a delegate, until the process ends.
+/// Sends summaries while this VM is a delegate, until the process ends.
 pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let (mut sequence, mut rounds) = (0, 0);
     let mut round_due = Duration::ZERO;
@@ -58,8 +58,8 @@
     }
 }
 
-/// Whether an endpoint has more than it runs: other failure domains are about to look for free slots, and old counts
-/// would send them where none are left.
+/// Whether an endpoint has more requests than it runs: other failure domains are about to look for
+/// free slots, and old counts would send them where none are left.
 fn is_crowded(node: &Node) -> bool {
     let now = clock::now();
     let core = node.core.borrow();
@@ -86,7 +86,7 @@
         .summary_round(now, &own, address, &core.usage, counts, endpoints)
 }
 
-/// Tells the VMs of the failure domain that fit.
+/// Sends a summary to the VMs of the failure domain that fit.
 fn tell_members(
     node: &Node,
     socket: &UdpSocket,
@@ -97,14 +97,14 @@
     for (vm, to) in members.into_iter().filter(|(vm, _)| fits(*vm)) {
         for summary in round.for_member(vm) {
             if let Some(sealed) = seal(node, &Datagram::Summary(summary)) {
-                // A datagram that can't be sent is a datagram lost: the next round says it again.
+                // A lost datagram is made good by the next round.
                 let _ = socket.try_send_to(&sealed, to);
             }
         }
     }
 }
 
-/// Tells the delegates of the other failure domains.
+/// Sends a summary to the delegates of the other failure domains.
 fn tell_delegates(node: &Node, socket: &UdpSocket, round: &SummaryRound) {
     let targets = node.core.borrow().peers.remote_delegate_addresses();
     for summary in round.for_delegates() {
@@ -112,22 +112,22 @@
             continue;
         };
         for to in &targets {
-            // As above.
+            // A lost datagram is made good by the next round.
             let _ = socket.try_send_to(&sealed, *to);
         }
     }
 }
 
-/// Passes a summary of another failure domain on as it came.
+/// Forwards a summary of another failure domain unchanged to the VMs of this one.
 fn pass_on(node: &Node, socket: &UdpSocket, sealed: &[u8]) {
     let members = node.core.borrow().peers.domain_peers(node.domain);
     for (_, to) in members {
-        // A datagram that can't be sent is a datagram lost: the next summary says it again.
+        // A lost datagram is made good by the next summary.
         let _ = socket.try_send_to(sealed, to);
     }
 }
 
-/// Takes a delegate's word.
+/// Applies a delegate's summary.
 pub fn heard(node: &Node, socket: &UdpSocket, summary: Summary, sealed: &[u8]) {
     if summary.by == node.vm {
         return;
@@ -145,12 +145,12 @@
     core.take_proofs(now, summary.proofs, theirs);
     let near = summary.domain == node.domain;
     if near && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
-        // It has heard the VMs themselves.
+        // This VM has received the heartbeats of the VMs themselves.
         return;
     }
     if summary.part == 0 {
         let source = CountSource::Domain(summary.domain);
-        // Towards the own failure domain this VM itself is left out.
+        // A summary of the local failure domain counts this VM too; it is left out here.
         let vms = summary.vms - u32::from(near);
         let told = word(vms, false, &summary.counts);
         core.quotas.apply_report(now, source, told);
--- a/src/serve/job_table.rs
+++ b/src/serve/job_table.rs
@@ -1,4 +1,4 @@
-//! The batch jobs that a process knows, as the store or another VM last told of them.
+//! The batch jobs that a process has, as last received from the store or from another VM.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -11,45 +11,47 @@
 use crate::decide::small_jobs::Record;
 use crate::id::{JobId, Name, OwnerId, Revision};
 
-/// One job as the store last told of it.
+/// One job as last received.
 pub struct Job {
     pub record: Rc<Record>,
-    /// Of its route and workspace.
+    /// Key of the job's route and workspace.
     route: RouteKey,
-    /// Tokens of its open items. Invariant: worked out anew with each record.
+    /// Tokens of its open items. Invariant: computed anew with each record.
     open_tokens: u64,
     pub revision: Revision,
-    /// Revision at which it last changed hands or ended; listings in between matter to its owner only.
+    /// Revision at which it last changed its owner or ended; listings in between matter to its
+    /// owner only.
     pub moved_at: Revision,
-    /// When this process first saw it; steady, so that jumps of the time of day end nothing.
+    /// When this process first received it, by the monotonic clock: jumps of the time of day expire
+    /// no job.
     pub first_seen: Duration,
-    /// When it last came, from whomever.
+    /// When it was last received, from the store or from another VM.
     pub seen_at: Duration,
     /// When the store last confirmed the record.
     pub confirmed_at: Duration,
-    /// Wakes readers.
+    /// Notified when the record changes; callers that read results wait for it.
     pub changed: Rc<Notify>,
 }
 
-/// All jobs that are known.
+/// All jobs that this process has.
 #[derive(Default)]
 pub struct Jobs {
     pub rows: HashMap<JobId, Job>,
     pub parts: Parts,
-    /// Of the newest record that is known, also from an own write.
+    /// Of the newest record here, including records written by this process.
     pub revision: Revision,
-    /// Up to which the watch has told of everything. Invariant: every record that stood at this
-    /// revision is known here as it stood, or newer.
+    /// Revision up to which the watch has delivered all changes. Invariant: every record that stood
+    /// at this revision is in the table as it stood, or newer.
     pub watched: Revision,
-    /// Callers who wait for results.
+    /// Callers that wait for results.
     pub readers: usize,
-    /// Wakes the VMs that follow this one.
+    /// Notified on every change; the VMs that follow this one wait for it.
     pub changed: Rc<Notify>,
 }
 
 impl Jobs {
-    /// Takes a record unless a newer one is known. `confirmed_at` is when the store told of it.
-    /// Returns the tokens of its route that are known as finished with it.
+    /// Takes a record unless a newer one is here. `confirmed_at` is when the store returned it.
+    /// Returns the key of its route and the number of tokens that finished with this record.
     pub fn take(
         &mut self,
         now: Duration,
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Keys under which tokens of a route's jobs are counted, one for each workspace with jobs there.
+    /// Keys under which tokens of a route's jobs are counted, one for each workspace with jobs
+    /// there.
     pub fn route_keys(&self, route: &str) -> HashSet<RouteKey> {
         let jobs = self.rows.values();
         let jobs = jobs.filter(|job| *job.record.route == *route);
@@ -102,19 +105,19 @@
         keys.chain([backlog::key(route, None)]).collect()
     }
 
-    /// Tokens of open items on a route, by the records.
+    /// Tokens of open items on a route, summed over the records.
     pub fn open_tokens(&self, route: RouteKey) -> u64 {
         self.open_tokens_of(route, |_| true)
     }
 
-    /// The same of the jobs whose owner fits.
+    /// Tokens of open items on a route in jobs whose owner fits.
     pub fn open_tokens_of(&self, route: RouteKey, owner: impl Fn(OwnerId) -> bool) -> u64 {
         let rows = self.rows.values().filter(|job| job.route == route);
         let rows = rows.filter(|job| owner(job.record.owner));
         rows.map(|job| job.open_tokens).sum()
     }
 
-    /// The record of a job and the revision at which it stands.
+    /// The record of a job and its revision.
     pub fn standing(&self, job: &JobId) -> Option<(Rc<Record>, Revision)> {
         let row = self.rows.get(job)?;
         Some((row.record.clone(), row.revision))
@@ -132,7 +135,7 @@
     owner(before) != owner(after)
 }
 
-/// Reads a record; `None` when it can't be understood, which is logged.
+/// Decodes a record; `None` when it is invalid, which is logged.
 pub fn decode(key: &str, value: &[u8]) -> Option<Record> {
     match serde_json::from_slice(value) {
         Ok(record) => Some(record),
--- a/src/serve/jobs.rs
+++ b/src/serve/jobs.rs
@@ -1,4 +1,4 @@
-//! The callers' calls on batch jobs, and the writes of jobs' records.
+//! Callers' requests on batch jobs, and the writes of job records.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,24 +23,24 @@
 use crate::store::{Settled, Txn, Write};
 use crate::util;
 
-/// How long a submission or an end may take to be settled at the store; callers wait 4 s at most.
+/// Time in which the store has to settle a submission or a cancellation; callers wait 4 s at most.
 const SETTLE_MAX: Duration = Duration::from_millis(2500);
-/// When to come back after the store could not be reached; outages last for seconds.
+/// `Retry-After` when the store could not be reached; outages last for seconds.
 pub(super) const STORE_AWAY_RETRY: Duration = Duration::from_millis(900);
-/// Path under which another VM tells that it has ended a job; the job follows.
+/// Path under which another VM reports that it has cancelled a job; the job follows.
 pub const ENDED_PATH: &str = "/ended/";
-/// Time for that; whoever ended the job waits for it.
+/// Timeout of that report; the caller that cancelled the job waits for it.
 const TELL_MAX: Duration = Duration::from_millis(400);
-/// Tries to end a job against other writers of its record.
+/// Attempts to cancel a job against concurrent writers of its record.
 const CANCEL_TRIES: usize = 5;
 
-/// Encodes what is written to the store.
+/// Encodes a value for the store.
 pub fn encode(value: &impl serde::Serialize) -> Bytes {
-    // Plain structs with string keys: there is nothing that JSON can't hold.
+    // Plain structs with string keys always serialize to JSON.
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Takes a submitted job.
+/// Accepts a submitted job.
 pub async fn submit(
     node: Rc<Node>,
     route: &Route,
@@ -73,7 +73,7 @@
     };
     let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &parts);
     record.workspace = caller;
-    // A task of its own: a caller that leaves must not keep the write from being settled.
+    // A task of its own: a caller that disconnects must not stop the write from being settled.
     let accepted = accept(node.clone(), route.clone(), record, parts);
     let settled = tokio::task::spawn_local(accepted).await;
     settled.unwrap_or_else(|_| replies::refusal(RefusalKind::PlatformAway, false, None))
@@ -99,7 +99,7 @@
         host: host.into(),
         route: route.name.clone(),
         workspace: None,
-        // A VM that drains accepts for the others.
+        // A VM that drains accepts jobs for others to claim.
         owner: if node.is_draining() { 0 } else { node.owner },
         epoch: 1,
         created_ms,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Writes record and items in one transaction, and answers by how that ended.
+/// Writes record and items in one transaction, and answers by its outcome.
 async fn accept(node: Rc<Node>, route: Route, record: Record, parts: Vec<Vec<Item>>) -> Reply {
     let id = record.id.clone();
     if let Err(reply) = admit::admit(&node, &route, &record).await {
@@ -153,7 +153,8 @@
     }
 }
 
-/// The answer to a job that stands already. An id belongs to the workspace that took it first.
+/// The answer to a submission whose job exists already. An id belongs to the workspace that
+/// submitted it first.
 pub(super) fn accepted_before(standing: &Record, caller: &Option<Name>) -> Reply {
     let same = standing.workspace == *caller;
     log::info!(job = *standing.id, same_workspace = same; "job had been accepted before");
@@ -172,7 +173,7 @@
     }
 }
 
-/// The job's record from the table, else from the store, else what to answer instead.
+/// The job's record from the table, else from the store, else the refusal to answer with.
 pub(super) async fn find(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
     let known = node.core.borrow().jobs.standing(job);
     match known {
@@ -181,7 +182,7 @@
     }
 }
 
-/// Like [`find`], for a caller: jobs of other workspaces don't exist for it.
+/// Like [`find`], for a caller: jobs of other workspaces are not found.
 pub(super) async fn find_for(
     node: &Rc<Node>,
     caller: &Option<Name>,
@@ -198,7 +199,8 @@
     Err(replies::refusal(RefusalKind::NotFound, true, None))
 }
 
-/// The job's record from the store, else what to answer instead: 404 only on the store's word.
+/// The job's record from the store, else the refusal to answer with: 404 only when the store has no
+/// such record.
 pub(super) async fn reread(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
     let key = record_key(job);
     let item = match node.store.get(&key).await {
@@ -250,7 +252,7 @@
     }
 }
 
-/// Ends a job.
+/// Cancels a job.
 pub async fn cancel(node: Rc<Node>, caller: &Option<Name>, job: JobId) -> Reply {
     for _ in 0..CANCEL_TRIES {
         let record = match find_for(&node, caller, &job).await {
@@ -277,22 +279,22 @@
     replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
 }
 
-/// Tells the process that runs a job that the job was ended here.
+/// Reports to the process that runs a job that the job was cancelled here.
 ///
-/// The failure: the owner hears of it from the store by way of its delegate; that one is frozen, its connection is
-/// open, and the items run on for 2.6 s more, which nobody wants any more.
+/// Without this, the owner learns of it from the store by way of its delegate; while that delegate
+/// is frozen with its connection open, the cancelled job's items run on for 2.6 s more.
 async fn tell_owner(node: &Node, record: &Record) {
     let Some(owner) = peers::owner_elsewhere(node, record.owner) else {
         return;
     };
     let path = format!("{ENDED_PATH}{}", record.id);
     if let Err(error) = ask::<()>(node, owner, &path, Vec::new(), TELL_MAX).await {
-        // Its own watch, or its delegate's, tells it a little later.
+        // Its own watch, or its delegate's, brings the change a little later.
         log::info!(job = *record.id, owner:% = owner, error:% = error; "the owner of an ended job was not told");
     }
 }
 
-/// Takes another VM's word that a job has ended, and what the store has on it.
+/// Receives another VM's report that a job was cancelled, and checks it against the store.
 pub async fn told_ended(node: &Rc<Node>, path: &str) -> Reply {
     let job: JobId = path.strip_prefix(ENDED_PATH).unwrap_or_default().into();
     if !node.core.borrow().jobs.rows.contains_key(&job) {
@@ -305,12 +307,13 @@
     reply(node.key.seal(&()))
 }
 
-/// Writes a record in the place of the one at `revision`, and keeps whichever stands then.
+/// Replaces a job's record if it still is at `revision`, and takes the record that stands
+/// afterwards into the table.
 pub async fn replace(node: &Rc<Node>, record: &Record, revision: Revision) -> Settled {
     replace_with(node, record, revision, Vec::new()).await
 }
 
-/// Like [`replace`], with parts in the same transaction, which are kept in memory once they stand.
+/// Like [`replace`], with parts in the same transaction, which are cached once they are written.
 pub async fn replace_with(
     node: &Rc<Node>,
     record: &Record,
--- a/src/serve/live_watch.rs
+++ b/src/serve/live_watch.rs
@@ -1,9 +1,9 @@
-//! Follows the records of batch jobs and of VMs: one VM of a failure domain at the metadata store, the
-//! others at it.
+//! Follows the records of batch jobs and of VMs: one VM of a failure domain watches the metadata
+//! store, and the others follow that VM.
 //!
-//! A job's record changes with every listing of results, and every VM must know all of them to answer
-//! readers. With each VM at the store, its calls grow with VMs times listings; so they grow with failure
-//! domains.
+//! A job's record changes with every listing of results, and every VM needs all of them to answer
+//! readers. If each VM watched the store, its calls would grow with VMs times listings; this way
+//! they grow with failure domains.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
@@ -28,47 +28,48 @@
 use crate::id::Revision;
 use crate::store::{Change, Error, Item};
 
-/// Path under which the VM that watches is asked; the revision follows.
+/// Path under which the watching VM is asked for changes; the revision and the wait follow.
 pub const PATH: &str = "/live/";
-/// Pause of the VM that watches for others before the watch is set anew: what changes within it comes
-/// in one answer of the store.
+/// Pause of a watching VM before it sets its watch anew: what changes within it comes in one answer
+/// of the store.
 const WATCHER_PACE: Duration = Duration::from_millis(300);
-/// The same towards that VM while someone reads results here. Both together stay below the time that
-/// a reader waits for this VM to catch up.
+/// Pause of a following VM between two requests to the watching one while a caller reads results
+/// here. The two pauses together stay below the time that a reader waits for this VM to catch up.
 const READ_PACE: Duration = Duration::from_millis(200);
-/// The same while nobody reads: claims and ends of jobs have seconds.
+/// The same while no caller reads: claims and ends of jobs may take seconds.
 const PACE: Duration = Duration::from_millis(1000);
-/// Longest wait of one question to the VM that watches. Bounds how long one that was passed over in
-/// favour of another is still asked.
+/// Longest wait of one request to the watching VM. It bounds how long the former watching VM is
+/// still asked after another one has taken its place.
 const WAIT_MAX: Duration = Duration::from_secs(2);
-/// What the answer may take beyond the wait before the VM counts as gone.
+/// Time that the answer may take beyond the wait before the VM counts as gone.
 const SLACK: Duration = Duration::from_millis(600);
-/// A VM that did not answer is not asked again for so long; by then its heartbeats have told.
+/// Time for which a VM that did not answer is not asked again; by then its heartbeats have shown
+/// whether it lives.
 const DISTRUST: Duration = Duration::from_secs(2);
 
-/// A watch that tells nothing of what another VM has told of for so long is taken for dead. A living one is
-/// late by its pace of 0.3 s, an answer of a slow store (0.4 s) and the way.
+/// A watch that lacks for this long what another VM has reported is taken for dead. A working one
+/// is late by its pause of 0.3 s, an answer of a slow store (0.4 s) and the network.
 const DOUBT_AFTER: Duration = Duration::from_secs(1);
-/// Time between two looks at what the other VMs have told of.
+/// Time between two comparisons with the revisions that the other VMs report.
 const DOUBT_LOOK: Duration = Duration::from_millis(200);
 
-/// All that is followed here.
+/// The followed keys.
 const FOLLOWED: Followed = Followed {
     subject: StoreSubject::Live,
     prefix: "small/live/",
 };
-/// Prefix of the VMs' registrations.
+/// Key prefix of the VMs' registrations.
 pub const VMS: &str = "small/live/vm/";
-/// Deleted keys that are remembered for the VMs that follow this one. One that comes back after more
-/// than so many keeps rows too long, which costs memory only.
+/// Deleted keys that are remembered for the VMs that follow this one. A follower that comes back
+/// after more deletions keeps rows too long, which costs memory only.
 const DELETED_MAX: usize = 4096;
 
-/// What is known of the followed keys, beside the jobs and the other VMs themselves.
+/// State of the followed keys, apart from the jobs and the other VMs themselves.
 #[derive(Default)]
 pub struct Live {
     /// VMs' registrations by key.
     vms: HashMap<String, (VmRecord, Revision)>,
-    /// Keys deleted of late, the oldest first.
+    /// The latest deleted keys, the oldest first.
     deleted: VecDeque<(Revision, String)>,
     /// A VM that did not answer, and until when it is not asked.
     distrusted: Option<(SocketAddr, Duration)>,
@@ -83,12 +84,12 @@
     }
 }
 
-/// What the VM that watches tells.
+/// The answer of the watching VM.
 #[derive(Debug, Serialize, Deserialize)]
 struct Changes {
     changes: Vec<Change>,
     at: Revision,
-    /// How old the store's word to that VM is that these are all.
+    /// Age of the store's last confirmation to that VM that these are all changes.
     proof_age_ms: Option<u64>,
 }
 
@@ -100,27 +101,29 @@
         match (source, core.jobs.readers) {
             (None, _) => WATCHER_PACE,
             (Some(_), 0) => PACE,
-            // Readers ask the owners there.
+            // In a large fleet readers are answered by the jobs' owners.
             (Some(_), _) if core.peers.is_large() => PACE,
             (Some(_), _) => READ_PACE,
         }
     };
     let ask = async |node: &Rc<Node>, at: Option<Revision>, wait: Duration| match source(node) {
         Some(watcher) => ask_watcher(node, watcher, at, wait).await,
-        // The fleet starts, and its delegates are yet to be heard.
+        // The fleet has just started, and its delegates have not been heard yet.
         None if watch::settles(node) => watch::rest().await,
         None => ask_store(node, FOLLOWED, at, wait).await,
     };
     follow(node, FOLLOWED, pace, ask, take).await;
 }
 
-/// Sets the watches anew when the other VMs know more than these have told, until the process ends.
+/// Sets the watches anew when other VMs have newer job records than these have delivered, until the
+/// process ends.
 ///
-/// The failure: a watch's connection is silent while all other calls go through, so nothing seems to fail; a
-/// caller ends a job at another VM, and its items go on here for up to half a minute. The heartbeats of the
-/// others tell the revision that they know.
+/// Without this, a watch whose connection is silent while all other calls succeed goes unnoticed: a
+/// caller cancels a job at another VM, and its items run on here for up to half a minute. The
+/// heartbeats of the other VMs carry the newest revision that they have.
 pub async fn doubt(node: Rc<Node>) {
-    // What the others had told of at some moment; newer records meanwhile say nothing of the watch.
+    // A revision that other VMs had reported, and when; records that are newer still say nothing of
+    // the watch.
     let mut awaited: Option<(Revision, Duration)> = None;
     loop {
         sleep(DOUBT_LOOK).await;
@@ -129,7 +132,7 @@
             let core = node.core.borrow();
             (core.peers.newest_job_revision(now), core.jobs.watched)
         };
-        // A VM that asks another one is as late as that one, which looks after itself.
+        // A VM that follows another one is as late as that one, which checks its own watch.
         if told <= watched || source(&node).is_some() {
             awaited = None;
             continue;
@@ -145,7 +148,7 @@
     }
 }
 
-/// The VM that is asked; `None` for the store.
+/// The VM that this one follows; `None` for the store.
 fn source(node: &Node) -> Option<SocketAddr> {
     let now = clock::now();
     let own = node.own();
@@ -182,13 +185,14 @@
             log::info!(watcher:% = watcher, error:% = error; "the VM that watches did not answer");
             let until = clock::now() + DISTRUST;
             node.core.borrow_mut().live.distrusted = Some((watcher, until));
-            // Read anew from the store, since nobody knows what that VM missed in its last moments.
+            // Read again in whole from the store: the watching VM may have missed changes before it
+            // failed.
             ask_store(node, FOLLOWED, None, wait).await
         }
     }
 }
 
-/// Answers a VM that follows this one: at once when there is something, else within the wait.
+/// Answers a VM that follows this one: at once when there are changes, else within the wait.
 pub async fn answer(node: &Node, path: &str) -> Reply {
     let asked = path
         .strip_prefix(PATH)
@@ -202,7 +206,7 @@
     loop {
         let (told, changed) = {
             let core = node.core.borrow();
-            // It doesn't know them all yet itself.
+            // This VM has not read all records yet, or its view is stale.
             if core.jobs.watched == 0 || is_behind(&core) {
                 return replies::empty(503);
             }
@@ -212,7 +216,7 @@
         if !told.changes.is_empty() || left.is_zero() {
             return reply(node.key.seal(&told));
         }
-        // Time out is as good as a change: this looks again.
+        // After a timeout the loop checks again as after a change.
         let _ = timeout(left, changed.notified()).await;
     }
 }
@@ -232,8 +236,8 @@
             revision,
         })
     };
-    // In a large fleet readers are answered by a job's owner, so listings need not go to all VMs: ten in a job's
-    // life, beside two changes of hands.
+    // In a large fleet a job's owner answers its readers, so listings need not go to all VMs: a job
+    // has ten of them, and two changes of its owner.
     let large = core.peers.is_large();
     let newest = |job: &Job| if large { job.moved_at } else { job.revision };
     let jobs = core.jobs.rows.values().filter(|job| newest(job) > after);
@@ -250,7 +254,7 @@
     });
     let age = core.proofs.age(clock::now(), StoreSubject::Live);
     Changes {
-        // What was deleted and written again must not be gone in the end.
+        // Deletions come first: a key that was deleted and written again must exist in the end.
         changes: deleted.chain(jobs).chain(vms).collect(),
         at: core.jobs.watched,
         proof_age_ms: age.map(|age| age.as_millis() as u64),
@@ -266,7 +270,7 @@
         News::Changes(changes) | News::PassedOn(changes) => remove_deleted(core, changes),
     }
     let confirmed_at = match news {
-        // Nobody knows how late the other VM is, so this is not the store's word of just now.
+        // It is not known how late the other VM is, so this confirms nothing as of now.
         News::PassedOn(_) => Duration::ZERO,
         News::All(_) | News::Changes(_) => now,
     };
@@ -299,7 +303,7 @@
     let keys: HashSet<&str> = items.iter().map(|item| item.key.as_str()).collect();
     let (jobs, live) = (&mut core.jobs, &mut core.live);
     let gone = jobs.rows.iter().filter(|(id, job)| {
-        // What was accepted after the page was read is newer than the page.
+        // A job accepted after the page was read is newer than the page.
         let newer = now < job.seen_at + watch::WAIT;
         !newer && !keys.contains(record_key(id).as_str())
     });
@@ -319,7 +323,7 @@
     }
 }
 
-/// Drops what a key held unless it was written again since.
+/// Drops what a key held unless it has been written again since.
 fn forget(core: &mut Core, key: &str, at: Revision) {
     let known = core.live.vms.get(key);
     if known.is_some_and(|(_, revision)| *revision < at) {
--- a/src/serve/parts.rs
+++ b/src/serve/parts.rs
@@ -1,4 +1,4 @@
-//! Write-once parts of batch jobs, kept in memory after they were read or written.
+//! Write-once parts of batch jobs, cached in memory after they were read or written.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -11,8 +11,8 @@
 use crate::id::OwnerId;
 use crate::store::Error;
 
-/// Bytes of parts that one process keeps. Jobs of one minute at the present load take a quarter of
-/// it, and what has been dropped is read again from the store.
+/// Bytes of cached parts in one process. Jobs of one minute at the present load take a quarter of
+/// it; dropped parts are read again from the store.
 const BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Parts by key, the oldest dropped first.
@@ -24,7 +24,7 @@
 }
 
 impl Parts {
-    /// Keeps a part.
+    /// Caches a part.
     pub fn keep(&mut self, key: String, value: Bytes) {
         if self.rows.contains_key(&key) {
             return;
@@ -40,13 +40,13 @@
         }
     }
 
-    /// A part that is kept here.
+    /// A cached part.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.rows.get(key).cloned()
     }
 }
 
-/// Why a part could not be had.
+/// Why a part could not be read.
 #[derive(Debug, snafu::Snafu)]
 pub enum PartError {
     #[snafu(display("{source}"), context(false))]
@@ -63,7 +63,7 @@
 /// Reads a part: from memory, else from the job's owner, which has just written it, else from the
 /// store.
 ///
-/// A part is written once, so whoever has it has all of it. The store counts every call: asking the
+/// A part is written once, so every copy is complete. The store charges every call: asking the
 /// owner saved a quarter of all calls on a day with 39 jobs and nine VMs.
 pub async fn read<T: DeserializeOwned>(
     node: &Rc<Node>,
--- a/src/serve/peers.rs
+++ b/src/serve/peers.rs
@@ -1,5 +1,5 @@
-//! What serving processes tell each other: by UDP what they have in flight and which versions they
-//! know, by TCP the rules and endpoints that another one lacks.
+//! Messages between serving processes: by UDP, what each one has in flight and which versions it
+//! has; by TCP, the configuration and endpoints that another process lacks.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -32,56 +32,63 @@
 use crate::id::{self, EndpointId, JobId, OwnerId, Revision};
 use crate::wire::DATAGRAM_BYTES;
 
-/// Time between two heartbeats while nothing changes, and to other failure domains also while counts
-/// change: their endpoints are used only when the own ones are full. With 52 VMs on three failure
-/// domains it leaves 1 of 6 heartbeats.
+/// Time between two heartbeats while nothing changes. To other failure domains it also applies
+/// while counts change: their endpoints are used only when the local ones are full. With 52 VMs in
+/// three failure domains it leaves 1 of 6 heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(500);
-/// Changes are told at most this often: as long as a datagram and its handling take, so that the
-/// others' counts are one step behind at most.
+/// Shortest time between two heartbeats while an endpoint is over its limit: as long as a datagram
+/// and its handling take, so that the counts at the other VMs are one step behind at most.
 const TOLD_AGAIN: Duration = Duration::from_millis(10);
-/// Changes are told at most this often in a large fleet, where one delegate takes in what tens of VMs say.
+/// Shortest time between two heartbeats in a large fleet, where one delegate receives those of tens
+/// of VMs.
 const TOLD_AGAIN_LARGE: Duration = Duration::from_millis(50);
-/// Changes that press nobody wait so long for others to be told with them.
+/// Shortest time between two heartbeats otherwise: changes that are not urgent wait so that several
+/// go out together.
 const CALM: Duration = Duration::from_millis(100);
-/// Counts of workspaces near their quotas go to other failure domains at most this often.
+/// Shortest time between two reports to other failure domains of workspaces near their quotas.
 const COUNTS_AGAIN: Duration = Duration::from_millis(200);
-/// All other counts go there this often: they are needed only where a failure domain falls silent.
+/// Time between two reports of all counts to other failure domains. The counts of workspaces far
+/// from their quotas are needed only where a failure domain falls silent.
 pub const COUNTS_ALL: Duration = Duration::from_millis(2500);
-/// Before a newer version is fetched from another VM, the store's own watch may bring it.
+/// Delay before a newer version is fetched from another VM: the local watch of the store may bring
+/// it in this time.
 const FETCH_AFTER: Duration = Duration::from_millis(150);
-/// Time for one fetch. An answer takes milliseconds between failure domains, and 0.2 s from a VM whose core is used up;
-/// with another VM to ask after it, news that is 0.6 s old is in force within 2 s.
+/// Timeout of one fetch. An answer takes milliseconds between failure domains, and 0.2 s from a VM
+/// whose core is used up. With a second VM to ask after a timeout, a configuration that is 0.6 s
+/// old is in force within 2 s.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
-/// A VM that did not answer is not asked again for so long; by then its heartbeats have told whether it lives.
+/// Time for which a VM that did not answer is not asked again; by then its heartbeats have shown
+/// whether it lives.
 const UNANSWERED_PAUSE: Duration = Duration::from_secs(2);
 /// Endpoints in one heartbeat; keeps the datagram within one packet.
 const ROWS_MAX: usize = 96;
 
-/// Routes and workspaces with waiting tokens in one heartbeat. Those left out count by the reservations in the store.
+/// Routes and workspaces with waiting tokens in one heartbeat. Those left out count by the
+/// reservations in the store.
 const BACKLOG_MAX: usize = 24;
-/// Workspaces with requests in one heartbeat, those that asked most.
+/// Workspaces with requests in one heartbeat: those with the most requests.
 const COUNTS_MAX: usize = 32;
 
-/// Path under which another VM is asked for the rules.
+/// Path under which another VM is asked for the configuration.
 pub const RULES_PATH: &str = "/rules";
 /// Path under which another VM is asked for the endpoints.
 pub const ENDPOINTS_PATH: &str = "/endpoints";
 
-/// Path under which another VM is asked for a part of a batch job, by its key.
+/// Path under which another VM is asked for a part of a batch job; the part's key follows.
 const PART_PATH: &str = "/part/";
 
 /// A message by UDP.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Datagram {
-    /// What a VM says of itself.
+    /// State of one VM, sent by that VM.
     Heartbeat(Heartbeat),
-    /// What a delegate says of its failure domain.
+    /// State of a failure domain, sent by its delegate.
     Summary(Summary),
-    /// What a VM knows of requests that end their endpoints.
+    /// Evidence of requests that end their endpoints.
     Quarantine(Vec<QuarantineReport>),
 }
 
-/// All endpoints that a VM knows, for one that can't reach the store.
+/// All endpoints that a VM has, for one that can't reach the store.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Endpoints {
     pub entries: Vec<KnownEntry>,
@@ -100,8 +107,8 @@
         let beat = heartbeat(&node, sequence);
         let now = clock::now();
         let versions = Some((beat.rules, beat.endpoints, beat.draining, beat.store));
-        // A job was let in on a route with a limit: a VM that hears of it half a second later lets in more than
-        // may wait, where the limit was lowered meanwhile.
+        // A job was admitted on a route with a limit. Without this, a VM that receives the count
+        // half a second later admits more than may wait where the limit was lowered meanwhile.
         let waiting: u64 = beat.backlog.iter().map(|(_, tokens)| tokens).sum();
         let lets_in = waiting > told_waiting;
         let far = now >= far_due || pressed(&node) || versions != told_far || lets_in;
@@ -137,7 +144,7 @@
     }
 }
 
-/// Workspaces with requests here that are near their quotas.
+/// Workspaces with local requests that are near their quotas.
 fn near_quota(node: &Node, now: Duration, beat: &Heartbeat) -> HashSet<WorkspaceKey> {
     let core = node.core.borrow();
     let rows = beat.counts.rows.iter();
@@ -173,12 +180,12 @@
         return;
     };
     for to in targets {
-        // A datagram that can't be sent is a datagram lost: the next one says it again.
+        // A lost datagram is made good by the next heartbeat.
         let _ = socket.try_send_to(&sealed, to);
     }
 }
 
-/// A datagram as it is sent; `None` when it can't be, which is logged.
+/// Encodes and signs a datagram; `None` when that fails, which is logged.
 pub fn seal(node: &Node, datagram: &Datagram) -> Option<Vec<u8>> {
     match node.key.seal(datagram) {
         Ok(sealed) if sealed.len() <= DATAGRAM_BYTES => return Some(sealed),
@@ -188,7 +195,7 @@
     None
 }
 
-/// Whether an endpoint has more than it runs, and other VMs have batch items there.
+/// Whether an endpoint has more requests than it runs while other VMs have batch items there.
 fn pressed(node: &Node) -> bool {
     let now = clock::now();
     let core = node.core.borrow();
@@ -197,7 +204,7 @@
         .any(|row| row.may_queue(now) && core.usage.of(row.id).batch > 0)
 }
 
-/// What this VM says of itself.
+/// The state of this VM for the other VMs.
 pub fn heartbeat(node: &Node, sequence: u64) -> Heartbeat {
     let core = node.core.borrow();
     let now = clock::now();
@@ -238,7 +245,7 @@
     }
 }
 
-/// Tokens that wait here, by route with a limit.
+/// Tokens that wait on this VM, by route with a limit.
 fn backlog(core: &Core, owner: OwnerId) -> Vec<(RouteKey, u64)> {
     let routes = core.routes.iter().flat_map(|table| &table.rules.routes);
     let limited = routes.filter(|route| route.waiting_tokens_max.is_some());
@@ -259,7 +266,7 @@
     tokens
 }
 
-/// Takes heartbeats until the process ends.
+/// Receives datagrams until the process ends.
 pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut buffer = [0; DATAGRAM_BYTES];
     loop {
@@ -286,7 +293,7 @@
     }
 }
 
-/// Takes a heartbeat; true when its process was not heard before.
+/// Applies a heartbeat; true when its process was not known before.
 fn heard(node: &Node, from: SocketAddr, beat: Heartbeat) -> bool {
     if beat.name == node.settings.name {
         return false;
@@ -330,7 +337,7 @@
     is_new
 }
 
-/// What others tell of requests against quotas.
+/// Request counts of a heartbeat or summary as a report to the quotas.
 pub fn word(vms: u32, leaving: bool, counts: &QuotaCounts) -> CountReport<'_> {
     CountReport {
         vms,
@@ -340,10 +347,10 @@
     }
 }
 
-/// Fetches what other VMs know and this one does not, until the process ends.
+/// Fetches newer configuration and endpoints from other VMs until the process ends.
 ///
-/// The failure: the store turns this VM away, or its watch has gone silent, while the others have
-/// new rules. Its callers would be served by old ones for as long as that lasts.
+/// Without this, a VM that the store refuses, or whose watch has gone silent, serves its callers by
+/// an old configuration for as long as that lasts.
 pub async fn fetch(node: Rc<Node>) {
     let mut unanswered = Unanswered::new();
     loop {
@@ -367,8 +374,9 @@
 
 /// VMs that did not answer, and until when they are not asked.
 ///
-/// The failure: a VM is heard that can't be asked, since it is frozen or the way to it is cut one way, and it is
-/// the one that knows most; asked again and again, it keeps this VM behind while the others know as much.
+/// Without this, a VM whose heartbeats arrive but that can't be asked, since it is frozen or the
+/// network drops one direction, and that has the newest versions, is asked again and again: this VM
+/// stays behind while others have the same versions.
 type Unanswered = HashMap<SocketAddr, Duration>;
 
 fn note_answer(unanswered: &mut Unanswered, from: SocketAddr, answered: bool) {
@@ -384,7 +392,7 @@
         .newer_peers(clock::now(), node.domain, core.versions(), answers)
 }
 
-/// Takes the rules of another VM; false when it did not answer.
+/// Fetches the configuration from another VM; false when it did not answer.
 async fn fetch_rules(node: &Rc<Node>, from: SocketAddr) -> bool {
     let told = fetch_from::<Rules>(node, from, RULES_PATH).await;
     let answered = told.is_some();
@@ -394,7 +402,7 @@
     answered
 }
 
-/// Takes the endpoints of another VM; false when it did not answer.
+/// Fetches the endpoints from another VM; false when it did not answer.
 async fn fetch_endpoints(node: &Rc<Node>, from: SocketAddr) -> bool {
     let Some(told) = fetch_from::<Endpoints>(node, from, ENDPOINTS_PATH).await else {
         return false;
@@ -413,8 +421,8 @@
     true
 }
 
-/// Where the living process answers that runs a job elsewhere, in a large fleet: only its owner follows all
-/// that happens to a job there.
+/// Peer address of a job's owner when that is another living process in a large fleet: there only
+/// the owner follows all changes of a job.
 pub fn owner_elsewhere(node: &Node, owner: OwnerId) -> Option<SocketAddr> {
     let core = node.core.borrow();
     let elsewhere = core.peers.is_large() && owner != node.owner;
@@ -438,7 +446,7 @@
     }
 }
 
-/// Answers another VM.
+/// Answers a request of another VM for the configuration, the endpoints or a part of a job.
 pub fn answer(node: &Node, path: &str) -> Reply {
     let core = node.core.borrow();
     let key = &node.key;
--- a/src/serve/proving.rs
+++ b/src/serve/proving.rs
@@ -1,4 +1,4 @@
-//! Asks the metadata store what is new, and meanwhile for proofs that nothing is.
+//! Watches the metadata store, and confirms on a second connection that the watch misses nothing.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -12,21 +12,23 @@
 use crate::id::Revision;
 use crate::store::{Call, Error, Reply};
 
-/// Wait of a call that asks only whether there is news by now.
+/// Wait of a call that only asks whether there are changes by now.
 const PROOF_WAIT: Duration = Duration::from_millis(1);
-/// A watch that lives tells what another call has told within this time.
+/// A working watch delivers within this time what another call has returned.
 const WATCH_LATE: Duration = Duration::from_millis(50);
-/// Time between two looks at whether a proof is due.
+/// Time between two checks whether a confirmation is due.
 const PROOF_LOOK: Duration = Duration::from_millis(300);
 
-/// Asks the store; a watch is given up when other calls on the store fail.
+/// Asks the store for all entries or for changes; a watch is given up when other calls on the store
+/// fail.
 ///
-/// The failure: the connection on which a watch waits goes silent for good while all other calls go through, on every
-/// VM at once, so that nothing fails and no VM knows more than another. Routes that were added are refused, and engines
-/// that left are used, for the 29.8 s of the wait. So the same question is asked again on another connection
-/// while the watch waits, by some VMs for all ([`crate::decide::freshness`]). An answer proves that the watch has missed
-/// nothing; what it has missed comes with the answer, and the watch is set anew. Seen before with six
-/// VMs: rules known after 27 s; since: within 2 s.
+/// The connection on which a watch waits may go silent for good while all other calls succeed, on
+/// every VM at once: nothing fails and no VM has newer data than another. Added routes are then
+/// refused, and engines that left are used, for the 29.8 s of the wait. So while the watch waits,
+/// some VMs repeat its request on another connection on behalf of all
+/// ([`crate::decide::freshness`]). An empty answer confirms that the watch has missed nothing;
+/// otherwise the answer holds the missed changes, and the watch is set anew. With six VMs a new
+/// configuration arrived after 27 s without this, and within 2 s with it.
 pub async fn ask_store(
     node: &Node,
     followed: Followed,
@@ -58,7 +60,7 @@
             node.proved(followed.subject, proof_at);
             continue;
         }
-        // The watch may be about to tell the same.
+        // The watch may be about to deliver the same changes.
         return match timeout(WATCH_LATE, &mut waiting).await {
             Ok(told) => told.map(Some),
             Err(_) => {
@@ -95,19 +97,19 @@
     }
 }
 
-/// Waits until this VM is to ask the store again while its watch waits.
+/// Waits until this VM has to ask the store again while its watch waits.
 async fn proof_due(node: &Node, subject: StoreSubject) {
     loop {
         let due_in = proof_due_in(node, subject);
         if due_in.is_some_and(|left| left.is_zero()) {
             return;
         }
-        // What others tell meanwhile puts it off; places change.
+        // Confirmations from other VMs put it off, and the rank of this VM may change.
         sleep(due_in.map_or(PROOF_LOOK, |left| left.min(PROOF_LOOK))).await;
     }
 }
 
-/// How long until this VM is to ask the store again; `None` while others do.
+/// Time until this VM has to ask the store again; `None` while others do.
 pub fn proof_due_in(node: &Node, subject: StoreSubject) -> Option<Duration> {
     let now = clock::now();
     let own = node.own();
--- a/src/serve/relay.rs
+++ b/src/serve/relay.rs
@@ -1,8 +1,9 @@
 //! Calls on the metadata store by way of another VM.
 //!
-//! The failure: the store turns this VM away, or the way to it is cut, while it serves the others. Jobs
-//! that callers submit here are refused although they could be kept, its registration lapses, and its
-//! jobs are taken over and run again. Another VM that reaches the store makes the call instead.
+//! Without this, when the store refuses this VM or the network to it is cut while it serves the
+//! other VMs, jobs that callers submit here are refused although they could be stored, this VM's
+//! registration lapses, and its jobs are taken over and run again. Another VM that reaches the
+//! store makes the call instead.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,15 +19,15 @@
 
 /// Path under which another VM is asked to make a call.
 pub const PATH: &str = "/store";
-/// Time for the other VM's own call and the way there and back.
+/// Time for the other VM's own call and the round trip.
 const TIMEOUT: Duration = Duration::from_millis(1500);
-/// What a call brings.
+/// Result of a call.
 type Outcome = Result<store::Reply, Error>;
 
 /// Largest call: a transaction with the parts of a job.
 const CALL_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// A store that asks another VM when `own` doesn't answer.
+/// A store that makes its calls by way of another VM when `own` doesn't answer.
 pub fn relayed(own: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
     let node = Rc::new(node);
     Store::new(move |call| {
@@ -42,13 +43,14 @@
     })
 }
 
-/// Watches and full readings are not: what they would tell comes with the other VMs' heartbeats.
+/// Watches and full reads are not relayed: their changes come from the other VMs anyway.
 fn may_be_relayed(call: &Call) -> bool {
     !matches!(call, Call::Range { .. } | Call::Watch { .. })
 }
 
-/// Asks another VM. A transaction that may have taken effect can be sent once more: its condition
-/// holds for one of the two at most, and whoever settles it reads back.
+/// Asks another VM to make the call. A transaction that may have taken effect can be sent once
+/// more: its condition holds for at most one of the two, and the code that settles it reads the key
+/// back.
 async fn relay(node: &Node, call: Call, first: Outcome) -> Outcome {
     let to = node.core.borrow().peers.peer_with_store(clock::now());
     let Some(to) = to else {
@@ -60,7 +62,7 @@
         Err(error) => Err(error.into()),
     };
     match asked {
-        // What the first try left in doubt stays in doubt.
+        // What the first attempt left in doubt stays in doubt.
         Ok(Err(Error::Away { .. })) => first,
         Ok(reply) => {
             log::info!(call = kind, by:% = to; "store call made by another VM");
@@ -74,7 +76,7 @@
     }
 }
 
-/// Makes a call for another VM, by the own way only.
+/// Makes a call for another VM, directly and never by way of a third one.
 pub async fn answer(node: &Node, body: Incoming) -> Reply {
     let Ok(body) = Limited::new(body, CALL_BYTES_MAX).collect().await else {
         return replies::empty(400);
--- a/src/serve/results.rs
+++ b/src/serve/results.rs
@@ -1,4 +1,4 @@
-//! Results of batch jobs, for callers who read them while the jobs run.
+//! Results of batch jobs, for callers that read them while the jobs run.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,19 +19,22 @@
 use crate::decide::small_jobs::{self, Record};
 use crate::id::{JobId, Name, OwnerId};
 
-/// Path under which the process that runs a job is asked for its results; job, position and wait follow.
+/// Path under which the process that runs a job is asked for its results; job, position and wait
+/// follow.
 pub const PATH: &str = "/results/";
-/// What the answer of another VM may take beyond the wait.
+/// Time that the answer of another VM may take beyond the wait.
 const SLACK: Duration = Duration::from_millis(400);
-/// The store's word on a record counts for so long where the other VMs can't be heard.
+/// A record that the store has confirmed within this time counts as fresh where the other VMs are
+/// not heard.
 const READ_FRESH: Duration = Duration::from_millis(600);
-/// A watch that works is behind the other VMs by no more than its pace and an answer of the store.
+/// A working watch is behind the other VMs by no more than its pause and an answer of the store.
 const WATCH_LAG: Duration = Duration::from_millis(700);
 const CATCH_UP_LOOK: Duration = Duration::from_millis(40);
-/// A registration lasts for 3 s and is renewed each 0.9 s; one that was renewed so long ago has missed one
-/// renewal at most.
+/// A registration lasts for 3 s and is renewed each 0.9 s; one renewed within this time has missed
+/// one renewal at most.
 const RENEWED_JUST_NOW: Duration = Duration::from_millis(2000);
-/// Longest that a reader is kept waiting; it waits for 1.5 s more than it allows.
+/// Longest wait of a reader for new results; callers time out 1.5 s after the wait that they ask
+/// for.
 const WAIT_MAX: Duration = Duration::from_millis(2000);
 /// Bytes of texts in one page of results; quoting in JSON stays within the page's 1 MB.
 const PAGE_BYTES_MAX: usize = 600 * 1024;
@@ -68,7 +71,7 @@
             let core = node.core.borrow();
             let told = core.peers.newest_job_revision(clock::now());
             let watched = core.jobs.watched;
-            // As it stands after the wait, not before it.
+            // The record as it is after the wait, not before it.
             let current = core.jobs.rows.get(&job).map(|row| row.record.clone());
             let record = current.unwrap_or(record);
             let listed = record.listed.len();
@@ -83,11 +86,11 @@
     page(&node, &record, after).await
 }
 
-/// Asks the process that runs a job, in a large fleet; `None` where it can't tell.
+/// Asks the process that runs a job, in a large fleet; `None` when there is no other owner to ask.
 ///
-/// The failure: each reader's VM has to know of each listing, so that each listing goes to all VMs, and a
-/// reader who finds nothing new costs a call on the store, since most VMs are not heard. Only a job's owner lists
-/// its results, so it knows them all, whoever else does not.
+/// Without this, each listing would have to go to all VMs, since any of them may have a reader, and
+/// a reader that finds no new results would cost a call on the store, since most VMs are not heard.
+/// Only a job's owner lists its results, so it always has all of them.
 async fn from_owner(
     node: &Rc<Node>,
     record: &Record,
@@ -101,7 +104,7 @@
         Ok(page) => Some(replies::json(200, page)),
         Err(error) => {
             log::info!(job = *record.id, owner:% = owner, error:% = error; "a job's owner did not tell its results");
-            // Whoever took the job over may have listed more.
+            // A VM that took the job over may have listed more.
             let record = match reread(node, &record.id).await {
                 Ok(record) => record,
                 Err(reply) => return Some(reply),
@@ -146,18 +149,18 @@
     }
 }
 
-/// Whether an owner id is this process's and others can't have taken over what it owns: they do so only when its
-/// registration has been gone for a second and a half, and it was renewed just now.
+/// Whether an owner id is this process's and no other VM can have taken over its jobs: that happens
+/// only when its registration has been gone for 1.5 s, and it was renewed just now.
 fn owns(node: &Node, owner: OwnerId, now: Duration) -> bool {
     let renewed_at = node.renewed_at.get();
     owner == node.owner && renewed_at.is_some_and(|at| now < at + RENEWED_JUST_NOW)
 }
 
-/// Whether a reader can be told that there is nothing new.
+/// Whether a reader can be told that there are no new results.
 ///
-/// The failure: this VM's watch lags or its connection is dead, another VM has shown the next result
-/// already, and the caller who comes here is told that there is none. Each heartbeat names the newest
-/// record that its sender knows, so a VM whose watch has passed all of these has what they have.
+/// Without this, while this VM's watch lags or its connection is dead, a caller that has seen a
+/// result at another VM is told here that there is none. Each heartbeat carries the newest job
+/// revision of its sender, so a VM whose watch has passed all of these has what they have.
 fn is_fresh(node: &Node, job: &JobId, now: Duration) -> bool {
     let core = node.core.borrow();
     let row = core.jobs.rows.get(job);
@@ -166,7 +169,8 @@
     confirmed || mine || core.peers.all_confirm_jobs(now, core.jobs.watched)
 }
 
-/// Waits a little for this VM's own watch; whether a reader can be told then that there is nothing new.
+/// Waits briefly for the local watch; returns whether a reader can then be told that there are no
+/// new results.
 async fn caught_up(node: &Node, job: &JobId) -> bool {
     let until = clock::now() + WATCH_LAG;
     while !is_fresh(node, job, clock::now()) {
@@ -186,13 +190,13 @@
         core.jobs.rows.get(job).map(|job| job.changed.clone())
     };
     match row {
-        // Time out is as good as a change: the caller of this looks again.
+        // After a timeout the caller checks again as after a change.
         Some(changed) => drop(timeout(wait, changed.notified()).await),
         None => sleep(wait).await,
     }
 }
 
-/// Counts a waiting caller for as long as it waits.
+/// Counts a waiting reader until it is dropped.
 struct Reader<'a> {
     node: &'a Node,
 }
--- a/src/serve/retire.rs
+++ b/src/serve/retire.rs
@@ -10,15 +10,16 @@
 use crate::id;
 use crate::store::Txn;
 
-/// Tries to say that a VM is empty; over a minute of an outage of the store.
+/// Attempts to record that a VM is empty; they cover over a minute of an outage of the store.
 const RETIRE_TRIES: usize = 200;
 
-/// By then the one before has written, or will not.
+/// Delay per rank, and between two attempts: by then the VM before this one has written, or will
+/// not.
 const RETIRE_STEP: Duration = Duration::from_millis(300);
 
-/// Answers a request to empty a VM with a disk. All that must last lies in the metadata store, so
-/// such a VM never holds anything that has to be moved. The first VM in line says so, and the
-/// others after a pause if it has not.
+/// Answers a request to empty a VM with a disk. All durable data is in the metadata store, so such
+/// a VM never holds anything that has to be moved. The first VM by rank records that, and the
+/// others after a delay if it has not.
 pub fn retire(node: &Node, vm: &str) {
     let rank = node
         .core
@@ -47,7 +48,7 @@
                 deletes: Vec::new(),
             };
             match store.try_commit(txn).await {
-                // Another VM wrote first; the next look finds its word.
+                // Another VM wrote first; the next iteration finds its value.
                 Ok(None) => {}
                 Ok(Some(_)) => log::info!(vm, rank; "the VM holds nothing"),
                 Err(error) => log::warn!(vm, error:% = error; "the VM's state can't be written"),
--- a/src/serve/runs.rs
+++ b/src/serve/runs.rs
@@ -1,4 +1,4 @@
-//! Batch items on their way: claims, runs at endpoints, listing of results, handing over.
+//! Batch items in progress: claims of jobs, runs at endpoints, listing of results, handover.
 
 pub mod claims;
 pub mod item;
@@ -27,32 +27,32 @@
 use crate::decide::small_jobs::{Finished, Item, ItemIndex, Outcome, Record};
 use crate::id::{self, ConfigVersion, Epoch, JobId, ServiceId};
 
-/// Time between two looks at everything that has to do with jobs.
+/// Time between two checks of all jobs.
 const LOOK: Duration = Duration::from_millis(100);
 /// Time between two plans while nothing happens.
 const PLAN: Duration = Duration::from_millis(50);
-/// Pause after a write that did not get through.
+/// Pause after a write to the store that failed.
 const WRITE_PAUSE: Duration = Duration::from_millis(400);
-/// An item is given up only so long after its retention has passed: this process may have heard
-/// of the job late, but never early.
+/// An item is given up only this long after its retention has passed: this process may have
+/// received the job late, but never early.
 const RETENTION_MARGIN: Duration = Duration::from_secs(2);
 
-/// What one item has so far.
+/// Progress of one open item.
 #[derive(Debug, Default, Clone)]
 struct Progress {
     texts: Vec<String>,
     last_event: Option<u64>,
     failures: u32,
-    /// The run under way.
+    /// The current run.
     run: Option<Run>,
 }
 
-/// A run under way.
+/// The current run of an item.
 #[derive(Debug, Clone)]
 struct Run {
-    /// Ends it at once, whatever has arrived.
+    /// Ends the run at once, whatever has arrived.
     abort: AbortHandle,
-    /// Takes it back.
+    /// Asks the run to stop; the item then waits again with its progress.
     stop: Rc<Notify>,
 }
 
@@ -62,11 +62,11 @@
     items: Rc<Vec<Item>>,
     progress: HashMap<ItemIndex, Progress>,
     finished: Vec<Finished>,
-    /// Failure counts that are not written yet.
+    /// Failure counts have changed since the record was last written.
     uncounted: bool,
     finished_at: Option<Duration>,
     writing: bool,
-    /// When the text of its items was last kept in the store.
+    /// When the progress of its items was last saved in the store.
     kept_at: Duration,
     write_after: Duration,
     due: Duration,
@@ -79,19 +79,19 @@
     loading: RefCell<HashSet<JobId>>,
     /// Jobs without a living owner, and since when.
     orphans: RefCell<HashMap<JobId, Duration>>,
-    /// Rules by which the items' services were last found.
+    /// Version of the configuration by which the items' services were last assigned.
     assigned_by: Cell<ConfigVersion>,
 }
 
 impl Runs {
-    /// Does something with what an item has so far; `None` when it is not run here.
+    /// Calls `act` with an item's progress; `None` when the item does not run here.
     fn with_progress<T>(&self, key: &ItemKey, act: impl FnOnce(&mut Progress) -> T) -> Option<T> {
         let mut owned = self.owned.borrow_mut();
         let progress = owned.get_mut(&key.job)?.progress.get_mut(&key.item)?;
         Some(act(progress))
     }
 
-    /// Ends the run of an item. Its connection is dropped, which tells the endpoint to stop.
+    /// Aborts the run of an item. Its connection is dropped, which makes the endpoint stop.
     fn abort(&self, key: &ItemKey) {
         let run = self.with_progress(key, |progress| progress.run.take());
         if let Some(run) = run.flatten() {
@@ -100,7 +100,7 @@
     }
 }
 
-/// Stops all that runs of a job, and forgets it.
+/// Aborts all runs of a job, and forgets the job.
 pub fn forget(node: &Node, job: &JobId) {
     let Some(owned) = node.runs.owned.borrow_mut().remove(job) else {
         return;
@@ -117,7 +117,7 @@
     }
 }
 
-/// Finds each item's service by the routes in force; an item without a route is given up.
+/// Assigns each item a service by the routes in force; an item without a route is given up.
 fn assign_services(node: &Node) {
     let Some(routes) = node.routes() else {
         return;
@@ -148,17 +148,17 @@
     }
 }
 
-/// The same service for an item at every look, in proportion to the weights.
+/// Picks a service in proportion to the weights, always the same one for an item.
 fn pick(route: &Route, item: &str) -> ServiceId {
     let draw = id::of(item) as f64 / u64::MAX as f64;
     route.pick(draw.min(0.999_999))
 }
 
-/// Runs everything that has to do with batch items until the process ends.
+/// Plans, checks and lists batch items until the process ends.
 pub async fn run(node: Rc<Node>) {
     let mut looked_at = Duration::ZERO;
     loop {
-        // Time out is as good as a wake-up.
+        // After a timeout the loop goes on as after a wake-up.
         let _ = timeout(PLAN, node.plan_items.notified()).await;
         let now = clock::now();
         if now >= looked_at + LOOK {
@@ -170,7 +170,7 @@
     }
 }
 
-/// Places items and takes them back.
+/// Starts items at endpoints and stops those that are preempted.
 fn plan(node: &Rc<Node>, now: Duration) {
     let actions = {
         let mut guard = node.core.borrow_mut();
@@ -197,7 +197,7 @@
     node.tell_peers.notify_one();
 }
 
-/// Takes a run back; it ends within a few turns of the event loop, and the item waits again.
+/// Stops a run; it ends within a few iterations of the event loop, and the item waits again.
 fn stop(node: &Node, key: &ItemKey) {
     let stop = |progress: &mut Progress| progress.run.as_ref().map(|run| run.stop.clone());
     if let Some(stop) = node.runs.with_progress(key, stop).flatten() {
@@ -205,10 +205,10 @@
     }
 }
 
-/// Takes all runs back at a planned stop, so that their jobs can be handed over.
+/// Stops all runs at a planned stop, so that their jobs can be handed over.
 ///
-/// The failure: a job waits at a VM that stops until the last of its items has run, and those that have
-/// not started wait with it.
+/// Without this, a job stays at a VM that stops until the last of its running items is done, and
+/// its items that have not started wait with it.
 fn stop_all(node: &Node) {
     let owned = node.runs.owned.borrow();
     let progress = owned.values().flat_map(|job| job.progress.values());
@@ -216,7 +216,7 @@
     runs.for_each(|run| run.stop.notify_one());
 }
 
-/// An item has its result; it waits for the next write.
+/// Records an item's result, which waits for the next write.
 fn finish(node: &Node, key: &ItemKey, outcome: Outcome) {
     node.core.borrow_mut().items.remove(key);
     let mut owned = node.runs.owned.borrow_mut();
@@ -238,7 +238,7 @@
     job.finished_at.get_or_insert(clock::now());
 }
 
-/// Looks after all jobs: adopts, claims, lists, hands over, forgets.
+/// Checks all jobs: adopts, claims, lists, hands over, forgets.
 fn look(node: &Rc<Node>, now: Duration) {
     let records: Vec<Rc<Record>> = {
         let core = node.core.borrow();
@@ -304,7 +304,7 @@
     !owned.is_empty()
 }
 
-/// What waits of the jobs that run here, and of those that nobody runs.
+/// Items and results that wait in the jobs that run here, and jobs without an owner.
 pub fn waiting(node: &Node, now: Duration) -> Vec<Row> {
     let owned = node.runs.owned.borrow();
     let mut rows: Vec<Row> = owned
--- a/src/serve/runs/claims.rs
+++ b/src/serve/runs/claims.rs
@@ -1,4 +1,4 @@
-//! Jobs come into the hands of this VM, and old ones go.
+//! Taking on jobs that this VM owns or claims, and removing old ones.
 
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
@@ -21,18 +21,18 @@
 use crate::store::{Settled, Txn};
 use crate::util;
 
-/// The first VM in line claims an orphan at once; each further one waits so much longer, by which
-/// time the first one's claim has been seen.
+/// The first VM by rank claims an orphaned job at once; each further rank waits this much longer,
+/// by which time the first VM's claim has been received.
 const CLAIM_STEP: Duration = Duration::from_millis(700);
-/// An owner counts as gone only after so long without any sign: its lease may have been taken away
+/// Time without any sign of life after which an owner counts as gone: its lease may have been lost
 /// while it lives, and it registers again within a second.
 const OWNER_GONE: Duration = Duration::from_millis(1500);
-/// Time in which the VM that is first in line removes an old job.
+/// Time in which the first VM by rank removes an old job.
 const FORGOTTEN: Duration = Duration::from_secs(60);
 /// Keys in one transaction; the store takes 32 entries.
 const DELETES_MAX: usize = 24;
 
-/// Takes a job on whose record names this process.
+/// Takes on a job whose record names this process as owner.
 pub fn adopt(node: &Rc<Node>, job: &JobId) {
     let standing = node.core.borrow().jobs.standing(job);
     let Some((record, _)) = standing else {
@@ -55,7 +55,7 @@
         node.runs.loading.borrow_mut().remove(&job);
         match loaded {
             Ok(items) => take_on(&node, &record, items, made),
-            // The next look tries again.
+            // The next check tries again.
             Err(error) => log::warn!(job = *job, error:% = error; "a job's items can't be read"),
         }
     });
@@ -108,7 +108,7 @@
             job: record.id.clone(),
             item,
         };
-        // Its service follows from the routes at the next look.
+        // The next check finds its service by the routes.
         core.items.add(now, key.clone(), 0, due);
         if let Some(ran) = ran.get(&item) {
             core.items.resumed(&key, *ran);
@@ -123,15 +123,15 @@
     node.plan_items.notify_one();
 }
 
-/// Time until a job is due by the time of day, within what it was given at first: a clock that
-/// jumped can only change the order of jobs.
+/// Time until a job is due by the time of day, at most the time that it was given at first: a clock
+/// that jumped can only change the order of jobs.
 fn time_left(record: &Record) -> Duration {
     let all_ms = record.due_ms.saturating_sub(record.created_ms);
     let left_ms = record.due_ms.saturating_sub(clock::unix_ms());
     Duration::from_millis(left_ms.min(all_ms))
 }
 
-/// Claims a job whose owner is gone, in the order that all VMs work out alike.
+/// Claims a job whose owner is gone, in an order that is the same on all VMs.
 pub(super) fn consider_claim(
     node: &Rc<Node>,
     now: Duration,
@@ -162,7 +162,7 @@
     let Some(claim) = record.claim(node.owner, util::nonce()) else {
         return;
     };
-    // The next try, should this one not get through.
+    // The time of the next attempt, should this one fail, counts from now.
     orphans.insert(record.id.clone(), now);
     drop(core);
     let node = node.clone();
@@ -176,7 +176,7 @@
     });
 }
 
-/// Forgets jobs that another VM has long removed: news of that may not come here.
+/// Forgets jobs that another VM removed long ago: the deletion may not arrive here.
 pub(super) fn forget_old(node: &Node, now: Duration) {
     let kept = Duration::from_secs(node.settings.results_kept_s) + RETENTION_MARGIN + FORGOTTEN;
     let mut core = node.core.borrow_mut();
@@ -184,11 +184,11 @@
     core.jobs.rows.retain(|_, job| keep(job));
 }
 
-/// Removes jobs whose results need not be kept any longer: by the VM that is first in line.
+/// Removes jobs whose results need not be kept any longer; only the first VM by rank does so.
 pub(super) fn remove_old(node: &Rc<Node>, now: Duration) {
     let kept = Duration::from_secs(node.settings.results_kept_s) + RETENTION_MARGIN;
     let core = node.core.borrow();
-    // Whose turn it is takes a look at all VMs, so it comes last.
+    // The rank takes an iteration over all VMs, so it is checked last.
     let old = core.jobs.rows.values().find(|job| {
         let over = job.record.ended() && now >= job.first_seen + kept;
         over && core.peers.rank(now, node.vm, id::of(&job.record.id)) == 0
@@ -207,7 +207,7 @@
     });
 }
 
-/// Removes the record last, so that what is left after a failure is found again.
+/// Removes a job's keys, the record last, so that what is left after a failure is found again.
 async fn remove(node: &Rc<Node>, record: &Record, revision: Revision) {
     let bodies = (0..record.body_parts.len() as u32).map(|part| body_key(&record.id, part));
     let texts = (0..record.text_parts).map(|part| text_key(&record.id, part));
@@ -225,7 +225,8 @@
             return;
         }
     }
-    // A job that was done at once has none: whether there is something to delete is not known.
+    // A separate transaction: it is not known whether there is progress to delete, since a job that
+    // was done at once has none.
     let txn = Txn {
         expect: vec![(key.clone(), revision)],
         writes: Vec::new(),
@@ -240,7 +241,7 @@
         deletes: vec![key],
     };
     match node.store.try_commit(txn).await {
-        // Another VM has changed or removed it; the watch tells which.
+        // Another VM has changed or removed it; the watch delivers which.
         Ok(None) => log::info!(job = *record.id; "an old job was changed by another VM"),
         Ok(Some(_)) => {
             node.core.borrow_mut().jobs.rows.remove(&record.id);
--- a/src/serve/runs/item.rs
+++ b/src/serve/runs/item.rs
@@ -24,20 +24,21 @@
 use crate::serve::quarantine::{self, Trial};
 use crate::serve::stopping::unless_stopped;
 
-/// An item is started only where a slot is free, so its first event comes soon; engines that are
-/// slowed many times over still send one within this time.
+/// Timeout for the answer and for each event. An item is started only where a slot is free, so its
+/// first event comes soon; engines slowed many times over still send one within this time.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How a run of an item ended.
 enum End {
     Complete,
-    /// The endpoint says that the item can never be done.
+    /// The endpoint refused the item for good.
     Rejected,
-    /// The endpoint tried and failed.
+    /// The endpoint tried the item and failed.
     ItemFailed,
-    /// It was taken back for online requests.
+    /// The item was preempted by online requests.
     Yielded,
-    /// It was not sent, since it ends the endpoints that run it; for how long yet.
+    /// Not sent: the item is quarantined, since it ends the endpoints that run it. Holds the time
+    /// left.
     HeldBack(Duration),
     Failed(Failure),
 }
@@ -153,7 +154,7 @@
     node.tell_peers.notify_one();
 }
 
-/// The endpoint answered that it failed: counted, and after the route's number given up.
+/// Counts a failure that the endpoint reported; after the route's maximum the item is given up.
 fn item_failed(node: &Node, key: &ItemKey, now: Duration) {
     let attempts_max = attempts_max(node, key);
     let failures = {
@@ -189,8 +190,8 @@
         .map_or(TRIES_MAX, |route| route.attempts_max)
 }
 
-/// Sends an item and reads its events. Each whole event is kept at once, so that a run which is
-/// stopped or breaks off goes on after it.
+/// Sends an item and reads its events. Each whole event is kept at once, so that a run that is
+/// stopped or breaks off resumes after it.
 async fn exchange_item(
     node: &Rc<Node>,
     key: &ItemKey,
@@ -274,7 +275,7 @@
     kept.unwrap_or_else(|| Err("the job is no longer run here".into()))
 }
 
-/// Where an item stood when its run began.
+/// An item's state when its run began.
 struct Began {
     at: Duration,
     last_event: Option<u64>,
@@ -285,7 +286,7 @@
     last.flatten()
 }
 
-/// The connection of a run broke; true when its endpoint has ended.
+/// Reports that the connection of a run broke; true when its endpoint has ended.
 async fn lost(node: &Node, key: &ItemKey, out: &Outgoing, target: &Target, began: Began) -> bool {
     let run = quarantine::Run {
         out,
@@ -302,7 +303,7 @@
     out.filter(|_| lost).map(Outgoing::fingerprint)
 }
 
-/// The item as a request; `None` when it can't be one.
+/// The item as a request; `None` when it is no valid one.
 fn outgoing(node: &Node, key: &ItemKey, items: &[Item]) -> Option<Outgoing> {
     let item = items.get(key.item as usize)?;
     let (record, _) = node.core.borrow().jobs.standing(&key.job)?;
--- a/src/serve/runs/listing.rs
+++ b/src/serve/runs/listing.rs
@@ -1,4 +1,4 @@
-//! Results go into the job's record; a job that is left goes to another VM.
+//! Writes results into the job's record, and hands jobs over to other VMs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use crate::store::Settled;
 use crate::util;
 
-/// Results that come within this time are listed by one write; readers ask twice a second.
+/// Results that finish within this time are listed by one write; readers ask twice a second.
 const GROUP: Duration = Duration::from_millis(1000);
 /// The same for results that are due soon.
 const GROUP_DUE: Duration = Duration::from_millis(100);
-/// Results of a job with less time than this are due soon.
+/// Results of a job with less time left than this are due soon.
 const DUE_SOON: Duration = Duration::from_millis(2500);
 
-/// Lists what is finished, by one write at a time for each job; hands over while draining.
+/// Lists finished results, with one write at a time for each job; hands the job over while
+/// draining.
 pub(super) fn write_results(node: &Rc<Node>, now: Duration, job: &JobId) {
     let standing = node.core.borrow().jobs.standing(job);
     let Some((record, revision)) = standing else {
@@ -68,7 +69,8 @@
     let (finished, epoch) = (owned.finished.clone(), owned.epoch);
     let listing = record.list(node.owner, epoch, &finished, &failures, util::nonce());
     let Some(listing) = listing else {
-        // All of it is listed, or the job belongs to another by now; the next look finds out.
+        // All of them are listed, or the job belongs to another VM by now, which the next check
+        // finds out.
         let listed = |result: &Finished| !record.is_listed(result.item);
         owned.finished.retain(listed);
         owned.uncounted = false;
@@ -94,7 +96,7 @@
     written(&node, record, &settled);
 }
 
-/// Takes note of how a write of a job's record ended.
+/// Updates the job's state by the outcome of a write of its record.
 fn written(node: &Node, record: &Record, settled: &Settled) {
     let now = clock::now();
     let mut guard = node.runs.owned.borrow_mut();
@@ -112,7 +114,7 @@
                 guard.remove(&record.id);
             }
         }
-        // Another writer came first: once more, on what it left.
+        // Another writer came first: list again, on top of its record.
         Settled::Lost(_) => owned.uncounted = true,
         Settled::Away(_) | Settled::Unknown(_) => {
             owned.uncounted = true;
@@ -121,7 +123,7 @@
     }
 }
 
-/// Gives a job to another VM, with what its items have made.
+/// Hands a job over to another VM, with the progress of its items.
 async fn hand_over(node: Rc<Node>, record: Rc<Record>, revision: Revision) {
     let now = clock::now();
     let to = node
--- a/src/serve/runs/progress.rs
+++ b/src/serve/runs/progress.rs
@@ -1,11 +1,11 @@
-//! Text of items under way, kept in the store so that it outlives this VM.
+//! Progress of running items, saved in the store so that it outlives this VM.
 //!
-//! The failure: a VM dies, another claims its jobs, and their items run again from the start: after a
-//! kill of all VMs the engines did 2 s of work twice while everybody waited. Kept, 4 to 9 more of 100 items
-//! were in time on days on which VMs die. So the text so far is
-//! written beside the job's record now and then, and whoever claims the job goes on after it. It may be
-//! old, never wrong: an item's events are the same at every engine, and a run that goes on after an
-//! earlier one makes the later ones again.
+//! Without this, when a VM dies and another claims its jobs, their items run again from the start:
+//! after a kill of all VMs the engines repeated 2 s of work while all callers waited. With saved
+//! progress 4 to 9 more of 100 items were in time on days on which VMs die. So the text so far is
+//! written beside the job's record at intervals, and a VM that claims the job resumes after it. It
+//! may be old, never wrong: an item's events are the same at every engine, and a run that resumes
+//! after an earlier event makes the later ones again.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -21,11 +21,11 @@
 use crate::serve::node::Node;
 use crate::store::{Txn, Write};
 
-/// Time between two writes for one job. What a death costs on average is half of it for each item that
-/// runs there; each write is one call on the store.
+/// Time between two writes for one job. A death loses half of it on average for each item that runs
+/// there; each write is one call on the store.
 const PAUSE: Duration = Duration::from_millis(2000);
 
-/// What one item has made so far.
+/// Saved progress of one item.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(super) struct Made {
     pub item: ItemIndex,
@@ -33,11 +33,11 @@
     pub last_event: u64,
     /// The data of all events so far, in order, with line feeds between them.
     pub text: String,
-    /// How long it has run, so that a successor knows what is left.
+    /// How long the item has run, so that a successor can tell how much is left.
     pub ran_ms: u64,
 }
 
-/// Writes what a job's items have made, if it is time.
+/// Saves the progress of a job's items, if it is time.
 pub(super) fn keep(node: &Rc<Node>, now: Duration, job: &JobId, record: &Record, at: Revision) {
     let made = {
         let mut guard = node.runs.owned.borrow_mut();
@@ -59,14 +59,14 @@
         let items = made.len();
         match node.store.try_commit(txn).await {
             Ok(Some(_)) => log::debug!(job = *job, items; "progress kept"),
-            // The record has changed meanwhile; the next look writes again.
+            // The record has changed meanwhile; the next check writes again.
             Ok(None) => log::debug!(job = *job; "progress not kept: the record has changed"),
             Err(error) => log::info!(job = *job, error:% = error; "progress not kept"),
         }
     });
 }
 
-/// Writes what a job's items have made before the job is handed over.
+/// Saves the progress of a job's items before the job is handed over.
 pub(super) async fn keep_last(node: &Node, now: Duration, record: &Record, at: Revision) {
     let made = {
         let owned = node.runs.owned.borrow();
@@ -84,8 +84,8 @@
     }
 }
 
-/// A write that takes effect only while the job's record stands as it is known here, and so while the job
-/// is this process's.
+/// A write that takes effect only while the job's record is unchanged, and so while this process
+/// owns the job.
 fn beside(record: &Record, at: Revision, write: Write) -> Txn {
     Txn {
         expect: vec![(record_key(&record.id), at)],
@@ -94,7 +94,7 @@
     }
 }
 
-/// What the items of a job have made so far.
+/// The progress of a job's items.
 fn made(now: Duration, job: &JobId, owned: &Owned, items: &Items) -> Vec<Made> {
     let made = |(item, progress): (&ItemIndex, &Progress)| {
         let key = ItemKey {
@@ -112,14 +112,14 @@
 }
 
 /// The write of a job's progress; `None` when there is none, or more than a value holds: such a job
-/// runs again from the start after a death, as all did without this.
+/// starts again after a death.
 fn as_write(job: &JobId, made: &[Made]) -> Option<Write> {
     let bytes: usize = made.iter().map(|one| one.text.len()).sum();
     let fits = !made.is_empty() && bytes <= PART_BYTES_MAX;
     fits.then(|| write(progress_key(job), encode(&made)))
 }
 
-/// Reads what the items of a claimed job had made at its earlier owner.
+/// Reads the progress of a claimed job's items, as its former owner saved it.
 pub(super) async fn read(node: &Node, record: &Record) -> HashMap<ItemIndex, Made> {
     if record.epoch <= 1 {
         return HashMap::new();
@@ -146,7 +146,7 @@
 }
 
 impl Made {
-    /// As the start of what the item makes here.
+    /// Progress of an item that resumes after the saved text.
     pub(super) fn resume(self, failures: u32) -> Progress {
         Progress {
             texts: vec![self.text],
--- a/src/serve/watch.rs
+++ b/src/serve/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the metadata store: rules, endpoints, jobs, the other VMs.
+//! Follows the metadata store: configuration, endpoints, jobs and the other VMs.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -16,36 +16,38 @@
 use crate::store::{Change, Error, Item};
 use crate::util;
 
-/// Longest wait of one watch. It doesn't bound how late news may be: proofs do, which are asked for meanwhile.
+/// Longest wait of one watch. It doesn't bound how late a change may be seen: the confirmations
+/// that are requested meanwhile do.
 pub const WAIT: Duration = Duration::from_secs(29);
-/// Pause after a call that failed, drawn from here to three times that, so that all VMs together
-/// stay below the store's rates while it is away.
+/// First pause after a failed call. The pause is drawn from this value up to three times it, so
+/// that all VMs together stay below the store's rate limits while it is unavailable.
 const FAILED_PAUSE: Duration = Duration::from_millis(150);
-/// What the pause grows by with each further failure, and how far. Outages last for seconds and every
-/// call is paid for, refused ones too; a VM that finds the store back a second later has lost nothing,
-/// since the others tell it what is new.
+/// Growth of the pause with each further failure, and its limit before the draw. Outages last for
+/// seconds and every call is paid for, refused ones too; a VM that finds the store back a second
+/// later has lost nothing, since other VMs send it what has changed.
 const FAILED_GROWTH: f64 = 1.6;
 const FAILED_PAUSE_MAX: Duration = Duration::from_millis(450);
-/// Longest pause that is drawn: below the second for which an outage is remembered. A reading that came
-/// later took entries that lapsed in the outage for removed ones, and callers found no endpoint.
+/// Longest pause after the draw: below the second for which an outage is remembered. A later read
+/// took entries that had lapsed in the outage for removed ones, and callers found no endpoint.
 const FAILED_PAUSE_LONGEST: Duration = Duration::from_millis(900);
-/// Pause before a watch is set anew that has told something: what changes together, as when many
-/// endpoints register at once, comes in one answer to each VM. Drains are known this much later, of
-/// the seconds that they have.
+/// Pause after a watch has delivered changes and before it is set anew: changes that come together,
+/// as when many endpoints register at once, reach each VM in one answer. Drains are seen this much
+/// later, out of the seconds that they have.
 const PACE: Duration = Duration::from_millis(200);
-/// Delegates of a fleet that starts are heard within this time; their VMs need no watches until then.
+/// Delegates of a starting fleet are heard within this time; the VMs that they represent need no
+/// watches until then.
 const SETTLE: Duration = Duration::from_millis(1500);
-/// A VM that delegates tell looks again so soon whether they still do.
+/// Time between two checks of a VM that delegates update whether they still do.
 const REST: Duration = Duration::from_millis(300);
-/// Time after a failure by which the store's watches hear again.
+/// Time after a failure by which the store's watches deliver changes again.
 const CONFIRM: Duration = Duration::from_millis(1200);
 
-/// What a follower is told.
+/// What an answer brings to a follower.
 pub enum News {
-    /// All that stands.
+    /// All current entries.
     All(Vec<Item>),
     Changes(Vec<Change>),
-    /// Changes as another VM knows them, however late it is.
+    /// Changes from another VM, which may be late by an unknown time.
     PassedOn(Vec<Change>),
 }
 
@@ -57,7 +59,7 @@
         }
     }
 
-    /// What was written; a deletion is none.
+    /// The written entries, without the deletions.
     pub fn written(self) -> Vec<Item> {
         match self {
             News::All(items) => items,
@@ -68,30 +70,30 @@
     }
 }
 
-/// What is followed, and the prefix of its keys.
+/// A subject to follow, and the prefix of its keys.
 #[derive(Clone, Copy)]
 pub struct Followed {
     pub subject: StoreSubject,
     pub prefix: &'static str,
 }
 
-/// What one question has brought.
+/// The answer to one request for changes.
 pub struct Told {
     pub news: News,
-    /// Revision up to which that is all.
+    /// Revision up to which the answer is complete.
     pub at: Revision,
-    /// When the store was asked; `None` for what another VM has told.
+    /// When the store was asked; `None` for an answer of another VM.
     pub asked_at: Option<Duration>,
 }
 
 /// Follows one prefix until the process ends.
 ///
-/// The failure: a store that is about to drop its history tells its watches nothing for a second, then
-/// cuts them, and what changes meanwhile is told to nobody. A watch that goes on from where it stood,
-/// or is set anew within that second, stays behind for as long as it waits. So all is read after a
-/// failure, and once more when that second is over.
+/// A store that is about to drop its history sends its watches nothing for a second, then cuts
+/// them; changes within that second reach no watch. A watch that continues from its last revision,
+/// or is set anew within that second, stays behind for as long as it waits. So all entries are read
+/// again after a failure, and once more when that second is over.
 ///
-/// `ask` brings all that stands where it is given no revision, else what has changed after it; `None`
+/// `ask` returns all entries when it is given no revision, else what has changed after it; `None`
 /// when it was interrupted.
 pub async fn follow(
     node: Rc<Node>,
@@ -103,7 +105,7 @@
     let mut at: Option<Revision> = None;
     let mut away = false;
     let mut pause = FAILED_PAUSE;
-    // When all is read once more after a failure.
+    // When all entries are read once more after a failure.
     let mut confirm_at: Option<Duration> = None;
     loop {
         let now = clock::now();
@@ -129,7 +131,7 @@
                 let quiet = told.news.is_empty();
                 take(&node, told.news, told.at);
                 at = Some(told.at);
-                // Only now does this VM know what the answer proves to be all.
+                // Only now does this VM have all that the answer confirms.
                 if let Some(asked_at) = told.asked_at {
                     node.proved(subject, asked_at);
                 }
@@ -156,10 +158,10 @@
     }
 }
 
-/// Whether delegates tell this VM what is new, so that it need not follow the store.
+/// Whether delegates send changes to this VM, so that it need not follow the store.
 ///
-/// The failure: each of 250 VMs has a watch of its own, and an endpoint that leaves and is replaced is told by
-/// a thousand calls, which are priced and rated. Delegates alone make a twentieth of them.
+/// Without this, each of 250 VMs has a watch of its own, and the replacement of one endpoint takes
+/// a thousand calls, which are priced and rate-limited. Delegates alone make a twentieth of them.
 fn is_told(node: &Node, subject: StoreSubject) -> bool {
     let own = node.own();
     settles(node) || {
@@ -170,12 +172,13 @@
     }
 }
 
-/// Whether this VM, which delegates speak for, is to follow the store itself, since they prove nothing.
+/// Whether this VM, which delegates represent, has to follow the store itself because their
+/// confirmations are overdue.
 fn steps_in(node: &Node, subject: StoreSubject) -> bool {
     proof_due_in(node, subject).is_some_and(|left| left.is_zero())
 }
 
-/// Whether the fleet has just started, and the delegates of this VM are yet to be heard.
+/// Whether the fleet has just started, and the delegates of this VM have not been heard yet.
 pub fn settles(node: &Node) -> bool {
     let own = node.own();
     let core = node.core.borrow();
@@ -187,13 +190,13 @@
     core.routes.is_some() && core.discovery.is_loaded()
 }
 
-/// Asks nobody for a while.
+/// Waits in place of a request while delegates send the changes.
 pub async fn rest() -> Result<Option<Told>, Error> {
     sleep(REST).await;
     Ok(None)
 }
 
-/// Follows a prefix at the store, every change at once.
+/// Follows a prefix at the store, without delay beyond [`PACE`].
 async fn follow_store(node: Rc<Node>, followed: Followed, take: impl FnMut(&Node, News, Revision)) {
     let ask = async |node: &Rc<Node>, at: Option<Revision>, wait: Duration| {
         if is_told(node, followed.subject) {
@@ -204,7 +207,7 @@
     follow(node, followed, |_| PACE, ask, take).await;
 }
 
-/// The rules, and requests to empty VMs.
+/// Follows the configuration and the requests to empty VMs.
 pub async fn operators(node: Rc<Node>) {
     let followed = Followed {
         subject: StoreSubject::Rules,
@@ -230,7 +233,7 @@
     if item.key == keys.rules {
         match (node.dialect.rules)(&item.value) {
             Ok(rules) => node.take_rules(rules, "store"),
-            // The rules in force stay in force.
+            // The configuration in force stays in force.
             Err(error) => log::error!(key = item.key, error; "rules can't be read"),
         }
     } else if let Some(vm) = item.key.strip_prefix(keys.retire) {
@@ -238,7 +241,7 @@
     }
 }
 
-/// The endpoints.
+/// Follows the endpoints.
 pub async fn endpoints(node: Rc<Node>) {
     let followed = Followed {
         subject: StoreSubject::Endpoints,
@@ -258,8 +261,8 @@
     follow_store(node, followed, take).await;
 }
 
-/// Takes a whole reading of the endpoints' entries; true when it matters. One that names no endpoint to use
-/// is not missing: it says that there is none, and costs no other.
+/// Applies a whole reading of the endpoints' entries; true when anything changed. An entry that
+/// names no usable endpoint counts as present and without an endpoint; it affects no other entry.
 fn all_endpoints(node: &Node, now: Duration, items: &[Item], at: Revision) -> bool {
     let mut changed = false;
     let mut entries = Vec::new();
@@ -276,7 +279,7 @@
     changed || replaced
 }
 
-/// What an entry says; `None` when it names no endpoint to use.
+/// Parses an entry; `None` when it names no usable endpoint.
 fn entry(node: &Node, item: &Item) -> Option<KnownEntry> {
     let name = entry_name(node, &item.key);
     match (node.dialect.registration)(name, &item.value) {
@@ -303,7 +306,7 @@
     core.discovery.apply_unusable(now, id, item.revision)
 }
 
-/// Takes one change of an endpoint's entry; true when it matters.
+/// Applies one change of an endpoint's entry; true when anything changed.
 fn endpoint(node: &Node, now: Duration, change: &Change) -> bool {
     match change {
         Change::Written(item) => {
