--- a/src/serve/ask.rs
+++ b/src/serve/ask.rs
@@ -24,14 +24,14 @@
     Message { source: wire::Error },
     #[snafu(display("{source}"), context(false))]
     Http { source: hyper::Error },
-    #[snafu(display("the path is none: {source}"), context(false))]
+    #[snafu(display("invalid path: {source}"), context(false))]
     Path {
         source: hyper::http::uri::InvalidUri,
     },
     #[snafu(display("answered {status}"))]
     Refused { status: StatusCode },
     #[snafu(display("no answer in time"), context(false))]
-    Late { source: tokio::time::error::Elapsed },
+    TimedOut { source: tokio::time::error::Elapsed },
 }
 
 /// Sends a request to another VM; `body` is sealed, or empty where the path says all.
@@ -42,7 +42,7 @@
     body: Vec<u8>,
     within: Duration,
 ) -> Result<T, AskError> {
-    let exchanged = async {
+    let exchange = async {
         let mut connection = Connection::open(&to.to_string()).await?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.uri_mut() = path.parse::<Uri>()?;
@@ -53,7 +53,7 @@
         }
         Ok(answer.into_body().collect().await?.to_bytes())
     };
-    let sealed = timeout(within, exchanged).await??;
+    let sealed = timeout(within, exchange).await??;
     Ok(node.key.open(&sealed)?)
 }
 
@@ -62,7 +62,7 @@
     match sealed {
         Ok(sealed) => replies::bytes(sealed.into()),
         Err(error) => {
-            log::error!(error:% = error; "another VM can't be answered");
+            log::error!(error:% = error; "the answer to another VM can't be encoded");
             replies::empty(500)
         }
     }
--- a/src/serve/delegate.rs
+++ b/src/serve/delegate.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, timeout};
 
 use super::node::Node;
-use super::peers::{heartbeat, seal, word, Datagram, COUNTS_ALL};
+use super::peers::{count_report, heartbeat, seal, Datagram, ALL_COUNTS_SEND_INTERVAL};
 use super::quotas;
 use crate::clock;
 use crate::decide::peers::{KnownVersions, Summary, SummaryRound, SUMMARY_INTERVAL};
@@ -17,7 +17,7 @@
 
 /// Time between two prompt summaries to VMs whose items are to be preempted. Without them a burst
 /// of online requests waits behind the items for up to a summary round.
-const PRESSED_PAUSE: Duration = Duration::from_millis(40);
+const PROMPT_SUMMARY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Sends summaries while this VM is a delegate, until the process ends.
 pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
@@ -25,24 +25,24 @@
     let mut round_due = Duration::ZERO;
     let mut counts_due = Duration::ZERO;
     loop {
-        sleep(PRESSED_PAUSE).await;
+        sleep(PROMPT_SUMMARY_INTERVAL).await;
         let left = round_due.saturating_sub(clock::now());
-        let pressed = timeout(left, node.tell_pressed.notified()).await.is_ok();
+        let is_prompt = timeout(left, node.tell_pressed.notified()).await.is_ok();
         if !node.core.borrow().peers.is_delegate(node.vm) {
             sleep(SUMMARY_INTERVAL).await;
             continue;
         }
         sequence += 1;
         let all_counts = clock::now() >= counts_due;
-        let round = round(&node, sequence, all_counts);
-        if pressed && clock::now() < round_due {
-            tell_members(&node, &socket, &round, |vm| round.has_excess_items(vm));
+        let round = build_round(&node, sequence, all_counts);
+        if is_prompt && clock::now() < round_due {
+            send_to_domain(&node, &socket, &round, |vm| round.has_excess_items(vm));
             continue;
         }
         round_due = clock::now() + SUMMARY_INTERVAL;
         rounds += 1;
         if all_counts && node.core.borrow().peers.is_remote_round(rounds) {
-            counts_due = clock::now() + COUNTS_ALL;
+            counts_due = clock::now() + ALL_COUNTS_SEND_INTERVAL;
         }
         if node
             .core
@@ -50,10 +50,10 @@
             .peers
             .is_domain_round(rounds, node.domain)
         {
-            tell_members(&node, &socket, &round, |_| true);
+            send_to_domain(&node, &socket, &round, |_| true);
         }
         if node.core.borrow().peers.is_remote_round(rounds) || is_crowded(&node) {
-            tell_delegates(&node, &socket, &round);
+            send_to_delegates(&node, &socket, &round);
         }
     }
 }
@@ -68,7 +68,7 @@
     meshed && rows.any(|row| row.may_queue(now))
 }
 
-fn round(node: &Node, sequence: u64, all_counts: bool) -> SummaryRound {
+fn build_round(node: &Node, sequence: u64, all_counts: bool) -> SummaryRound {
     let now = clock::now();
     let own = heartbeat(node, sequence);
     let core = node.core.borrow();
@@ -87,7 +87,7 @@
 }
 
 /// Sends a summary to the VMs of the failure domain that fit.
-fn tell_members(
+fn send_to_domain(
     node: &Node,
     socket: &UdpSocket,
     round: &SummaryRound,
@@ -105,7 +105,7 @@
 }
 
 /// Sends a summary to the delegates of the other failure domains.
-fn tell_delegates(node: &Node, socket: &UdpSocket, round: &SummaryRound) {
+fn send_to_delegates(node: &Node, socket: &UdpSocket, round: &SummaryRound) {
     let targets = node.core.borrow().peers.remote_delegate_addresses();
     for summary in round.for_delegates() {
         let Some(sealed) = seal(node, &Datagram::Summary(summary)) else {
@@ -119,7 +119,7 @@
 }
 
 /// Forwards a summary of another failure domain unchanged to the VMs of this one.
-fn pass_on(node: &Node, socket: &UdpSocket, sealed: &[u8]) {
+fn forward(node: &Node, socket: &UdpSocket, sealed: &[u8]) {
     let members = node.core.borrow().peers.domain_peers(node.domain);
     for (_, to) in members {
         // A lost datagram is made good by the next summary.
@@ -128,7 +128,7 @@
 }
 
 /// Applies a delegate's summary.
-pub fn heard(node: &Node, socket: &UdpSocket, summary: Summary, sealed: &[u8]) {
+pub fn apply_summary(node: &Node, socket: &UdpSocket, summary: Summary, sealed: &[u8]) {
     if summary.by == node.vm {
         return;
     }
@@ -143,25 +143,25 @@
         endpoints: summary.endpoints,
     };
     core.take_proofs(now, summary.proofs, theirs);
-    let near = summary.domain == node.domain;
-    if near && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
+    let is_local = summary.domain == node.domain;
+    if is_local && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
         // This VM has received the heartbeats of the VMs themselves.
         return;
     }
     if summary.part == 0 {
         let source = CountSource::Domain(summary.domain);
         // A summary of the local failure domain counts this VM too; it is left out here.
-        let vms = summary.vms - u32::from(near);
-        let told = word(vms, false, &summary.counts);
-        core.quotas.apply_report(now, source, told);
+        let vms = summary.vms - u32::from(is_local);
+        let report = count_report(vms, false, &summary.counts);
+        core.quotas.apply_report(now, source, report);
     }
-    let passes_on = !near && core.peers.forwards_summary(node.vm, &summary);
+    let forwards = !is_local && core.peers.forwards_summary(node.vm, &summary);
     let part = (summary.part, summary.parts);
     let touched = core
         .usage
         .apply_group_part(now, summary.domain, part, summary.rows);
     let mut yields = false;
-    if near && summary.part == 0 {
+    if is_local && summary.part == 0 {
         yields = !summary.keeps.is_empty();
         core.usage.set_item_allowance(now, summary.keeps);
     }
@@ -170,8 +170,8 @@
         .items
         .note_uses_at(now, endpoints, &core.usage, &touched);
     drop(guard);
-    if passes_on {
-        pass_on(node, socket, sealed);
+    if forwards {
+        forward(node, socket, sealed);
     }
     if yields {
         node.plan_items.notify_one();
--- a/src/serve/job_table.rs
+++ b/src/serve/job_table.rs
@@ -6,7 +6,7 @@
 
 use tokio::sync::Notify;
 
-use super::parts::Parts;
+use super::parts::PartCache;
 use crate::decide::backlog::{self, RouteKey};
 use crate::decide::small_jobs::Record;
 use crate::id::{JobId, Name, OwnerId, Revision};
@@ -21,7 +21,7 @@
     pub revision: Revision,
     /// Revision at which it last changed its owner or ended; listings in between matter to its
     /// owner only.
-    pub moved_at: Revision,
+    pub ownership_revision: Revision,
     /// When this process first received it, by the monotonic clock: jumps of the time of day expire
     /// no job.
     pub first_seen: Duration,
@@ -37,12 +37,12 @@
 #[derive(Default)]
 pub struct Jobs {
     pub rows: HashMap<JobId, Job>,
-    pub parts: Parts,
+    pub parts: PartCache,
     /// Of the newest record here, including records written by this process.
     pub revision: Revision,
     /// Revision up to which the watch has delivered all changes. Invariant: every record that stood
     /// at this revision is in the table as it stood, or newer.
-    pub watched: Revision,
+    pub watched_revision: Revision,
     /// Callers that wait for results.
     pub readers: usize,
     /// Notified on every change; the VMs that follow this one wait for it.
@@ -67,8 +67,8 @@
             Some(job) if revision < job.revision => None,
             Some(job) => {
                 let finished = job.open_tokens.saturating_sub(open_tokens);
-                if has_moved(&job.record, &record) {
-                    job.moved_at = revision;
+                if has_new_owner_or_end(&job.record, &record) {
+                    job.ownership_revision = revision;
                 }
                 job.open_tokens = open_tokens;
                 job.record = Rc::new(record);
@@ -84,7 +84,7 @@
                     route,
                     open_tokens,
                     revision,
-                    moved_at: revision,
+                    ownership_revision: revision,
                     first_seen: now,
                     seen_at: now,
                     confirmed_at,
@@ -118,7 +118,7 @@
     }
 
     /// The record of a job and its revision.
-    pub fn standing(&self, job: &JobId) -> Option<(Rc<Record>, Revision)> {
+    pub fn current(&self, job: &JobId) -> Option<(Rc<Record>, Revision)> {
         let row = self.rows.get(job)?;
         Some((row.record.clone(), row.revision))
     }
@@ -130,9 +130,10 @@
 }
 
 /// Whether a job has another owner, or has ended.
-fn has_moved(before: &Record, after: &Record) -> bool {
-    let owner = |record: &Record| (record.owner, record.epoch, record.cancelled, record.ended());
-    owner(before) != owner(after)
+fn has_new_owner_or_end(before: &Record, after: &Record) -> bool {
+    let ownership =
+        |record: &Record| (record.owner, record.epoch, record.cancelled, record.ended());
+    ownership(before) != ownership(after)
 }
 
 /// Decodes a record; `None` when it is invalid, which is logged.
--- a/src/serve/jobs.rs
+++ b/src/serve/jobs.rs
@@ -24,15 +24,15 @@
 use crate::util;
 
 /// Time in which the store has to settle a submission or a cancellation; callers wait 4 s at most.
-const SETTLE_MAX: Duration = Duration::from_millis(2500);
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// `Retry-After` when the store could not be reached; outages last for seconds.
-pub(super) const STORE_AWAY_RETRY: Duration = Duration::from_millis(900);
+pub(super) const STORE_RETRY_AFTER: Duration = Duration::from_millis(900);
 /// Path under which another VM reports that it has cancelled a job; the job follows.
 pub const ENDED_PATH: &str = "/ended/";
 /// Timeout of that report; the caller that cancelled the job waits for it.
-const TELL_MAX: Duration = Duration::from_millis(400);
+const ENDED_REPORT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Attempts to cancel a job against concurrent writers of its record.
-const CANCEL_TRIES: usize = 5;
+const CANCEL_ATTEMPTS_MAX: usize = 5;
 
 /// Encodes a value for the store.
 pub fn encode(value: &impl serde::Serialize) -> Bytes {
@@ -52,19 +52,19 @@
         return replies::refusal(RefusalKind::BadRequest, true, None);
     };
     let id: JobId = id.into();
-    let standing = node.core.borrow().jobs.standing(&id);
-    if let Some((record, _)) = standing {
+    let existing = node.core.borrow().jobs.current(&id);
+    if let Some((record, _)) = existing {
         return accepted_before(&record, &caller);
     }
     let items = match (node.dialect.submission)(&body) {
         Ok(items) => items,
         Err(error) => {
-            log::info!(job = *id, error; "job can't be read");
+            log::info!(job = *id, error; "job refused: the submission can't be read");
             return replies::refusal(RefusalKind::BadRequest, true, None);
         }
     };
     if let Some(item) = small_jobs::named_twice(&items) {
-        log::info!(job = *id, item = **item; "job refused: an item is named twice");
+        log::info!(job = *id, item = **item; "job refused: duplicate item id");
         return replies::refusal(RefusalKind::BadRequest, true, None);
     }
     let parts = match small_jobs::body_parts(&items) {
@@ -125,7 +125,7 @@
     let part = |(number, part)| write(body_key(&id, number as u32), encode(part));
     let writes = parts.iter().enumerate().map(part).collect();
     let started = clock::now();
-    let settled = replace_with(&node, &record, 0, writes).await;
+    let settled = replace_record_with_parts(&node, &record, 0, writes).await;
     admit::settled(&node, &id, &settled);
     let took_ms = clock::now().saturating_sub(started).as_millis() as u64;
     let items = record.items.len();
@@ -138,13 +138,13 @@
             runs::adopt(&node, &id);
             replies::empty(202)
         }
-        Settled::Lost(_) => match node.core.borrow().jobs.standing(&id) {
-            Some((standing, _)) => accepted_before(&standing, &record.workspace),
+        Settled::Lost(_) => match node.core.borrow().jobs.current(&id) {
+            Some((existing, _)) => accepted_before(&existing, &record.workspace),
             None => replies::empty(202),
         },
         Settled::Away(detail) => {
             log::warn!(job = *id, took_ms, detail; "job refused: the store is away");
-            replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+            replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
         }
         Settled::Unknown(detail) => {
             log::warn!(job = *id, took_ms, detail; "job in doubt: the store's answer was lost");
@@ -155,9 +155,9 @@
 
 /// The answer to a submission whose job exists already. An id belongs to the workspace that
 /// submitted it first.
-pub(super) fn accepted_before(standing: &Record, caller: &Option<Name>) -> Reply {
-    let same = standing.workspace == *caller;
-    log::info!(job = *standing.id, same_workspace = same; "job had been accepted before");
+pub(super) fn accepted_before(existing: &Record, caller: &Option<Name>) -> Reply {
+    let same = existing.workspace == *caller;
+    log::info!(job = *existing.id, same_workspace = same; "job already accepted");
     match same {
         true => replies::empty(202),
         false => replies::refusal(RefusalKind::Conflict, true, None),
@@ -175,7 +175,7 @@
 
 /// The job's record from the table, else from the store, else the refusal to answer with.
 pub(super) async fn find(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
-    let known = node.core.borrow().jobs.standing(job);
+    let known = node.core.borrow().jobs.current(job);
     match known {
         Some((record, _)) => Ok(record),
         None => reread(node, job).await,
@@ -183,7 +183,7 @@
 }
 
 /// Like [`find`], for a caller: jobs of other workspaces are not found.
-pub(super) async fn find_for(
+pub(super) async fn find_for_caller(
     node: &Rc<Node>,
     caller: &Option<Name>,
     job: &JobId,
@@ -206,40 +206,40 @@
     let item = match node.store.get(&key).await {
         Ok(Some(item)) => item,
         Ok(None) => return Err(replies::refusal(RefusalKind::NotFound, true, None)),
-        Err(error) => return Err(away(job, &error.to_string())),
+        Err(error) => return Err(store_unavailable(job, &error.to_string())),
     };
     let Some(record) = decode(&key, &item.value) else {
-        return Err(away(job, "a record that can't be read"));
+        return Err(store_unavailable(job, "the record is invalid"));
     };
     let mut core = node.core.borrow_mut();
     let now = clock::now();
     core.take_job(now, now, record, item.revision);
-    let standing = core.jobs.standing(job);
-    standing
+    let existing = core.jobs.current(job);
+    existing
         .map(|(record, _)| record)
         .ok_or_else(|| replies::refusal(RefusalKind::NotFound, true, None))
 }
 
-fn away(job: &str, detail: &str) -> Reply {
+fn store_unavailable(job: &str, detail: &str) -> Reply {
     log::warn!(job, error = detail; "job can't be read: the store is away");
-    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
 }
 
 /// Answers with the body of an item.
 pub async fn item_body(node: Rc<Node>, caller: &Option<Name>, job: JobId, item: Name) -> Reply {
-    let record = match find_for(&node, caller, &job).await {
+    let record = match find_for_caller(&node, caller, &job).await {
         Ok(record) => record,
         Err(reply) => return reply,
     };
     let index = record.items.iter().position(|known| *known == item);
-    let place = index.and_then(|index| record.body_place(index as u32));
-    let Some((part, place)) = place.filter(|_| !record.cancelled) else {
+    let position = index.and_then(|index| record.body_place(index as u32));
+    let Some((part, position)) = position.filter(|_| !record.cancelled) else {
         return replies::refusal(RefusalKind::NotFound, true, None);
     };
     let read = parts::read::<Vec<Item>>(&node, body_key(&job, part), record.owner).await;
     let body = match &read {
         Ok(items) => items
-            .get(place)
+            .get(position)
             .map(|item| BASE64_STANDARD.decode(&item.body)),
         Err(error) => {
             log::warn!(job = *job, error:% = error; "an item's body can't be read");
@@ -248,47 +248,49 @@
     };
     match body {
         Some(Ok(body)) => replies::bytes(body.into()),
-        _ => replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY)),
+        _ => replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER)),
     }
 }
 
 /// Cancels a job.
 pub async fn cancel(node: Rc<Node>, caller: &Option<Name>, job: JobId) -> Reply {
-    for _ in 0..CANCEL_TRIES {
-        let record = match find_for(&node, caller, &job).await {
+    for _ in 0..CANCEL_ATTEMPTS_MAX {
+        let record = match find_for_caller(&node, caller, &job).await {
             Ok(record) => record,
             Err(reply) => return reply,
         };
         let Some(ended) = record.cancel(util::nonce()) else {
             return replies::empty(200);
         };
-        let standing = node.core.borrow().jobs.standing(&job);
-        let revision = standing.map_or(0, |(_, revision)| revision);
-        match replace(&node, &ended, revision).await {
+        let existing = node.core.borrow().jobs.current(&job);
+        let revision = existing.map_or(0, |(_, revision)| revision);
+        match replace_record(&node, &ended, revision).await {
             Settled::Won(_) => {
-                log::info!(job = *job, listed = ended.listed.len(); "job ended by its caller");
+                log::info!(job = *job, listed = ended.listed.len(); "job cancelled by its caller");
                 runs::forget(&node, &job);
-                tell_owner(&node, &record).await;
+                report_to_owner(&node, &record).await;
                 return replies::empty(200);
             }
             // Another writer came first; its record is in the table now.
             Settled::Lost(_) => {}
-            Settled::Away(detail) | Settled::Unknown(detail) => return away(&job, &detail),
+            Settled::Away(detail) | Settled::Unknown(detail) => {
+                return store_unavailable(&job, &detail)
+            }
         }
     }
-    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
 }
 
 /// Reports to the process that runs a job that the job was cancelled here.
 ///
 /// Without this, the owner learns of it from the store by way of its delegate; while that delegate
 /// is frozen with its connection open, the cancelled job's items run on for 2.6 s more.
-async fn tell_owner(node: &Node, record: &Record) {
-    let Some(owner) = peers::owner_elsewhere(node, record.owner) else {
+async fn report_to_owner(node: &Node, record: &Record) {
+    let Some(owner) = peers::remote_owner(node, record.owner) else {
         return;
     };
     let path = format!("{ENDED_PATH}{}", record.id);
-    if let Err(error) = ask::<()>(node, owner, &path, Vec::new(), TELL_MAX).await {
+    if let Err(error) = ask::<()>(node, owner, &path, Vec::new(), ENDED_REPORT_TIMEOUT).await {
         // Its own watch, or its delegate's, brings the change a little later.
         log::info!(job = *record.id, owner:% = owner, error:% = error; "the owner of an ended job was not told");
     }
@@ -309,12 +311,12 @@
 
 /// Replaces a job's record if it still is at `revision`, and takes the record that stands
 /// afterwards into the table.
-pub async fn replace(node: &Rc<Node>, record: &Record, revision: Revision) -> Settled {
-    replace_with(node, record, revision, Vec::new()).await
+pub async fn replace_record(node: &Rc<Node>, record: &Record, revision: Revision) -> Settled {
+    replace_record_with_parts(node, record, revision, Vec::new()).await
 }
 
-/// Like [`replace`], with parts in the same transaction, which are cached once they are written.
-pub async fn replace_with(
+/// Like [`replace_record`], with parts in the same transaction, which are cached once they are written.
+pub async fn replace_record_with_parts(
     node: &Rc<Node>,
     record: &Record,
     revision: Revision,
@@ -328,14 +330,14 @@
         writes,
         deletes: Vec::new(),
     };
-    let settled = node.store.commit(txn, SETTLE_MAX).await;
+    let settled = node.store.commit(txn, COMMIT_TIMEOUT).await;
     let now = clock::now();
     let mut core = node.core.borrow_mut();
     match &settled {
         Settled::Won(revision) => {
             core.take_job(now, now, record.clone(), *revision);
             for part in parts {
-                core.jobs.parts.keep(part.key, part.value);
+                core.jobs.parts.insert(part.key, part.value);
             }
             node.tell_peers.notify_one();
         }
--- a/src/serve/live_watch.rs
+++ b/src/serve/live_watch.rs
@@ -20,7 +20,7 @@
 use super::node::{Core, Node};
 use super::proving::ask_store;
 use super::replies::{self, Reply};
-use super::watch::{self, follow, Followed, News, Told};
+use super::watch::{self, follow, FollowedPrefix, StoreUpdate, WatchAnswer};
 use crate::clock;
 use crate::decide::freshness::StoreSubject;
 use crate::decide::peers::VmRecord;
@@ -32,29 +32,29 @@
 pub const PATH: &str = "/live/";
 /// Pause of a watching VM before it sets its watch anew: what changes within it comes in one answer
 /// of the store.
-const WATCHER_PACE: Duration = Duration::from_millis(300);
+const WATCHER_INTERVAL: Duration = Duration::from_millis(300);
 /// Pause of a following VM between two requests to the watching one while a caller reads results
 /// here. The two pauses together stay below the time that a reader waits for this VM to catch up.
-const READ_PACE: Duration = Duration::from_millis(200);
+const FOLLOW_INTERVAL_WITH_READERS: Duration = Duration::from_millis(200);
 /// The same while no caller reads: claims and ends of jobs may take seconds.
-const PACE: Duration = Duration::from_millis(1000);
+const FOLLOW_INTERVAL: Duration = Duration::from_millis(1000);
 /// Longest wait of one request to the watching VM. It bounds how long the former watching VM is
 /// still asked after another one has taken its place.
 const WAIT_MAX: Duration = Duration::from_secs(2);
 /// Time that the answer may take beyond the wait before the VM counts as gone.
-const SLACK: Duration = Duration::from_millis(600);
+const ANSWER_MARGIN: Duration = Duration::from_millis(600);
 /// Time for which a VM that did not answer is not asked again; by then its heartbeats have shown
 /// whether it lives.
-const DISTRUST: Duration = Duration::from_secs(2);
+const UNANSWERED_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// A watch that lacks for this long what another VM has reported is taken for dead. A working one
 /// is late by its pause of 0.3 s, an answer of a slow store (0.4 s) and the network.
-const DOUBT_AFTER: Duration = Duration::from_secs(1);
+const SILENT_WATCH_AFTER: Duration = Duration::from_secs(1);
 /// Time between two comparisons with the revisions that the other VMs report.
-const DOUBT_LOOK: Duration = Duration::from_millis(200);
+const SILENT_WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The followed keys.
-const FOLLOWED: Followed = Followed {
+const FOLLOWED: FollowedPrefix = FollowedPrefix {
     subject: StoreSubject::Live,
     prefix: "small/live/",
 };
@@ -62,7 +62,7 @@
 pub const VMS: &str = "small/live/vm/";
 /// Deleted keys that are remembered for the VMs that follow this one. A follower that comes back
 /// after more deletions keeps rows too long, which costs memory only.
-const DELETED_MAX: usize = 4096;
+const DELETED_KEYS_MAX: usize = 4096;
 
 /// State of the followed keys, apart from the jobs and the other VMs themselves.
 #[derive(Default)]
@@ -72,13 +72,13 @@
     /// The latest deleted keys, the oldest first.
     deleted: VecDeque<(Revision, String)>,
     /// A VM that did not answer, and until when it is not asked.
-    distrusted: Option<(SocketAddr, Duration)>,
+    unanswered: Option<(SocketAddr, Duration)>,
 }
 
 impl Live {
     fn note_deleted(&mut self, key: &str, revision: Revision) {
         self.deleted.push_back((revision, key.to_owned()));
-        if self.deleted.len() > DELETED_MAX {
+        if self.deleted.len() > DELETED_KEYS_MAX {
             self.deleted.pop_front();
         }
     }
@@ -95,24 +95,25 @@
 
 /// Follows the records until the process ends.
 pub async fn run(node: Rc<Node>) {
-    let pace = |node: &Node| {
-        let source = source(node);
+    let interval = |node: &Node| {
+        let followed = followed_vm(node);
         let core = node.core.borrow();
-        match (source, core.jobs.readers) {
-            (None, _) => WATCHER_PACE,
-            (Some(_), 0) => PACE,
+        match (followed, core.jobs.readers) {
+            (None, _) => WATCHER_INTERVAL,
+            (Some(_), 0) => FOLLOW_INTERVAL,
             // In a large fleet readers are answered by the jobs' owners.
-            (Some(_), _) if core.peers.is_large() => PACE,
-            (Some(_), _) => READ_PACE,
+            (Some(_), _) if core.peers.is_large() => FOLLOW_INTERVAL,
+            (Some(_), _) => FOLLOW_INTERVAL_WITH_READERS,
         }
     };
-    let ask = async |node: &Rc<Node>, at: Option<Revision>, wait: Duration| match source(node) {
+    let ask = async |node: &Rc<Node>, at: Option<Revision>, wait: Duration| match followed_vm(node)
+    {
         Some(watcher) => ask_watcher(node, watcher, at, wait).await,
         // The fleet has just started, and its delegates have not been heard yet.
-        None if watch::settles(node) => watch::rest().await,
+        None if watch::is_starting(node) => watch::wait_for_delegates().await,
         None => ask_store(node, FOLLOWED, at, wait).await,
     };
-    follow(node, FOLLOWED, pace, ask, take).await;
+    follow(node, FOLLOWED, interval, ask, apply_update).await;
 }
 
 /// Sets the watches anew when other VMs have newer job records than these have delivered, until the
@@ -122,25 +123,28 @@
 /// caller cancels a job at another VM, and its items run on here for up to half a minute. The
 /// heartbeats of the other VMs carry the newest revision that they have.
 pub async fn doubt(node: Rc<Node>) {
-    // A revision that other VMs had reported, and when; records that are newer still say nothing of
-    // the watch.
+    // A revision that other VMs had reported, and when. Later revisions don't replace it, since
+    // they say nothing of the watch.
     let mut awaited: Option<(Revision, Duration)> = None;
     loop {
-        sleep(DOUBT_LOOK).await;
+        sleep(SILENT_WATCH_CHECK_INTERVAL).await;
         let now = clock::now();
-        let (told, watched) = {
+        let (newest, watched) = {
             let core = node.core.borrow();
-            (core.peers.newest_job_revision(now), core.jobs.watched)
+            (
+                core.peers.newest_job_revision(now),
+                core.jobs.watched_revision,
+            )
         };
         // A VM that follows another one is as late as that one, which checks its own watch.
-        if told <= watched || source(&node).is_some() {
+        if newest <= watched || followed_vm(&node).is_some() {
             awaited = None;
             continue;
         }
-        let (revision, since) = *awaited.get_or_insert((told, now));
+        let (revision, since) = *awaited.get_or_insert((newest, now));
         if revision <= watched {
-            awaited = Some((told, now));
-        } else if now >= since + DOUBT_AFTER {
+            awaited = Some((newest, now));
+        } else if now >= since + SILENT_WATCH_AFTER {
             log::info!(told = revision, watched; "the watches are set anew: another VM knows more");
             node.watch_again.notify_waiters();
             awaited = None;
@@ -149,14 +153,14 @@
 }
 
 /// The VM that this one follows; `None` for the store.
-fn source(node: &Node) -> Option<SocketAddr> {
+fn followed_vm(node: &Node) -> Option<SocketAddr> {
     let now = clock::now();
     let own = node.own();
     let core = node.core.borrow();
     let watcher = core.peers.watching_vm(now, own)?;
-    let distrusted = core.live.distrusted;
-    let trusted = distrusted.is_none_or(|(vm, until)| vm != watcher || now >= until);
-    trusted.then_some(watcher)
+    let unanswered = core.live.unanswered;
+    let may_ask = unanswered.is_none_or(|(vm, until)| vm != watcher || now >= until);
+    may_ask.then_some(watcher)
 }
 
 async fn ask_watcher(
@@ -164,27 +168,27 @@
     watcher: SocketAddr,
     at: Option<Revision>,
     wait: Duration,
-) -> Result<Option<Told>, Error> {
+) -> Result<Option<WatchAnswer>, Error> {
     let wait = wait.min(WAIT_MAX);
     let path = format!("{PATH}{}/{}", at.unwrap_or(0), wait.as_millis());
-    match ask::<Changes>(node, watcher, &path, Vec::new(), wait + SLACK).await {
-        Ok(told) => {
-            if let Some(age_ms) = told.proof_age_ms {
+    match ask::<Changes>(node, watcher, &path, Vec::new(), wait + ANSWER_MARGIN).await {
+        Ok(received) => {
+            if let Some(age_ms) = received.proof_age_ms {
                 let age = Duration::from_millis(age_ms);
                 let mut core = node.core.borrow_mut();
                 core.proofs
                     .confirm_by_peer_at(StoreSubject::Live, clock::now(), age);
             }
-            Ok(Some(Told {
-                news: News::PassedOn(told.changes),
-                at: told.at,
+            Ok(Some(WatchAnswer {
+                update: StoreUpdate::Relayed(received.changes),
+                at: received.at,
                 asked_at: None,
             }))
         }
         Err(error) => {
-            log::info!(watcher:% = watcher, error:% = error; "the VM that watches did not answer");
-            let until = clock::now() + DISTRUST;
-            node.core.borrow_mut().live.distrusted = Some((watcher, until));
+            log::info!(watcher:% = watcher, error:% = error; "the watching VM did not answer");
+            let until = clock::now() + UNANSWERED_RETRY_AFTER;
+            node.core.borrow_mut().live.unanswered = Some((watcher, until));
             // Read again in whole from the store: the watching VM may have missed changes before it
             // failed.
             ask_store(node, FOLLOWED, None, wait).await
@@ -204,17 +208,17 @@
     };
     let until = clock::now() + Duration::from_millis(wait_ms).min(WAIT_MAX);
     loop {
-        let (told, changed) = {
+        let (changes, changed) = {
             let core = node.core.borrow();
             // This VM has not read all records yet, or its view is stale.
-            if core.jobs.watched == 0 || is_behind(&core) {
+            if core.jobs.watched_revision == 0 || is_behind(&core) {
                 return replies::empty(503);
             }
             (changes_after(node, after), core.jobs.changed.clone())
         };
         let left = until.saturating_sub(clock::now());
-        if !told.changes.is_empty() || left.is_zero() {
-            return reply(node.key.seal(&told));
+        if !changes.changes.is_empty() || left.is_zero() {
+            return reply(node.key.seal(&changes));
         }
         // After a timeout the loop checks again as after a change.
         let _ = timeout(left, changed.notified()).await;
@@ -239,7 +243,13 @@
     // In a large fleet a job's owner answers its readers, so listings need not go to all VMs: a job
     // has ten of them, and two changes of its owner.
     let large = core.peers.is_large();
-    let newest = |job: &Job| if large { job.moved_at } else { job.revision };
+    let newest = |job: &Job| {
+        if large {
+            job.ownership_revision
+        } else {
+            job.revision
+        }
+    };
     let jobs = core.jobs.rows.values().filter(|job| newest(job) > after);
     let jobs = jobs.map(|job| {
         let key = record_key(&job.record.id);
@@ -256,27 +266,29 @@
     Changes {
         // Deletions come first: a key that was deleted and written again must exist in the end.
         changes: deleted.chain(jobs).chain(vms).collect(),
-        at: core.jobs.watched,
+        at: core.jobs.watched_revision,
         proof_age_ms: age.map(|age| age.as_millis() as u64),
     }
 }
 
-fn take(node: &Node, news: News, revision: Revision) {
+fn apply_update(node: &Node, update: StoreUpdate, revision: Revision) {
     let now = clock::now();
     let mut guard = node.core.borrow_mut();
     let core = &mut *guard;
-    match &news {
-        News::All(items) => remove_missing(core, items, revision, now),
-        News::Changes(changes) | News::PassedOn(changes) => remove_deleted(core, changes),
+    match &update {
+        StoreUpdate::Snapshot(items) => remove_missing(core, items, revision, now),
+        StoreUpdate::Changes(changes) | StoreUpdate::Relayed(changes) => {
+            remove_deleted(core, changes)
+        }
     }
-    let confirmed_at = match news {
+    let confirmed_at = match update {
         // It is not known how late the other VM is, so this confirms nothing as of now.
-        News::PassedOn(_) => Duration::ZERO,
-        News::All(_) | News::Changes(_) => now,
+        StoreUpdate::Relayed(_) => Duration::ZERO,
+        StoreUpdate::Snapshot(_) | StoreUpdate::Changes(_) => now,
     };
-    for item in news.written() {
+    for item in update.into_written() {
         if item.key.starts_with(VMS) {
-            take_vm(&mut core.live, item);
+            apply_registration(&mut core.live, item);
         } else if let Some(record) = decode(&item.key, &item.value) {
             core.take_job(now, confirmed_at, record, item.revision);
         }
@@ -284,13 +296,13 @@
     let vms: Vec<VmRecord> = core.live.vms.values().map(|(vm, _)| vm.clone()).collect();
     core.peers
         .apply_registrations(now, (node.vm, node.owner), &vms);
-    core.jobs.watched = core.jobs.watched.max(revision);
+    core.jobs.watched_revision = core.jobs.watched_revision.max(revision);
     core.jobs.changed.notify_waiters();
     drop(guard);
     node.plan_items.notify_one();
 }
 
-fn take_vm(live: &mut Live, item: Item) {
+fn apply_registration(live: &mut Live, item: Item) {
     match serde_json::from_slice(&item.value) {
         Ok(record) => {
             live.vms.insert(item.key, (record, item.revision));
@@ -304,7 +316,7 @@
     let (jobs, live) = (&mut core.jobs, &mut core.live);
     let gone = jobs.rows.iter().filter(|(id, job)| {
         // A job accepted after the page was read is newer than the page.
-        let newer = now < job.seen_at + watch::WAIT;
+        let newer = now < job.seen_at + watch::WATCH_WAIT_MAX;
         !newer && !keys.contains(record_key(id).as_str())
     });
     let jobs_gone: Vec<String> = gone.map(|(id, _)| record_key(id)).collect();
--- a/src/serve/parts.rs
+++ b/src/serve/parts.rs
@@ -13,26 +13,26 @@
 
 /// Bytes of cached parts in one process. Jobs of one minute at the present load take a quarter of
 /// it; dropped parts are read again from the store.
-const BYTES_MAX: usize = 16 * 1024 * 1024;
+const CACHE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Parts by key, the oldest dropped first.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct PartCache {
     rows: HashMap<String, Bytes>,
     order: VecDeque<String>,
     bytes: usize,
 }
 
-impl Parts {
+impl PartCache {
     /// Caches a part.
-    pub fn keep(&mut self, key: String, value: Bytes) {
+    pub fn insert(&mut self, key: String, value: Bytes) {
         if self.rows.contains_key(&key) {
             return;
         }
         self.bytes += value.len();
         self.rows.insert(key.clone(), value);
         self.order.push_back(key);
-        while self.bytes > BYTES_MAX {
+        while self.bytes > CACHE_BYTES_MAX {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
@@ -54,7 +54,7 @@
     #[snafu(display("part {key} is missing"))]
     Missing { key: String },
     #[snafu(display("part {key} can't be read: {source}"))]
-    Broken {
+    Invalid {
         key: String,
         source: serde_json::Error,
     },
@@ -70,23 +70,23 @@
     key: String,
     owner: OwnerId,
 ) -> Result<T, PartError> {
-    let kept = node.core.borrow().jobs.parts.get(&key);
-    let value = match kept {
+    let cached = node.core.borrow().jobs.parts.get(&key);
+    let value = match cached {
         Some(value) => value,
         None => {
-            let value = match peers::ask_part(node, owner, &key).await {
+            let value = match peers::fetch_part(node, owner, &key).await {
                 Some(value) => value,
-                None => from_store(node, &key).await?,
+                None => read_from_store(node, &key).await?,
             };
             let mut core = node.core.borrow_mut();
-            core.jobs.parts.keep(key.clone(), value.clone());
+            core.jobs.parts.insert(key.clone(), value.clone());
             value
         }
     };
-    serde_json::from_slice(&value).map_err(|source| PartError::Broken { key, source })
+    serde_json::from_slice(&value).map_err(|source| PartError::Invalid { key, source })
 }
 
-async fn from_store(node: &Rc<Node>, key: &str) -> Result<Bytes, PartError> {
+async fn read_from_store(node: &Rc<Node>, key: &str) -> Result<Bytes, PartError> {
     match node.store.get(key).await? {
         Some(item) => Ok(item.value),
         None => MissingSnafu { key }.fail(),
--- a/src/serve/peers.rs
+++ b/src/serve/peers.rs
@@ -35,21 +35,21 @@
 /// Time between two heartbeats while nothing changes. To other failure domains it also applies
 /// while counts change: their endpoints are used only when the local ones are full. With 52 VMs in
 /// three failure domains it leaves 1 of 6 heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Shortest time between two heartbeats while an endpoint is over its limit: as long as a datagram
 /// and its handling take, so that the counts at the other VMs are one step behind at most.
-const TOLD_AGAIN: Duration = Duration::from_millis(10);
+const URGENT_SEND_INTERVAL: Duration = Duration::from_millis(10);
 /// Shortest time between two heartbeats in a large fleet, where one delegate receives those of tens
 /// of VMs.
-const TOLD_AGAIN_LARGE: Duration = Duration::from_millis(50);
+const LARGE_FLEET_SEND_INTERVAL: Duration = Duration::from_millis(50);
 /// Shortest time between two heartbeats otherwise: changes that are not urgent wait so that several
 /// go out together.
-const CALM: Duration = Duration::from_millis(100);
+const SEND_INTERVAL: Duration = Duration::from_millis(100);
 /// Shortest time between two reports to other failure domains of workspaces near their quotas.
-const COUNTS_AGAIN: Duration = Duration::from_millis(200);
+const NEAR_QUOTA_SEND_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two reports of all counts to other failure domains. The counts of workspaces far
 /// from their quotas are needed only where a failure domain falls silent.
-pub const COUNTS_ALL: Duration = Duration::from_millis(2500);
+pub const ALL_COUNTS_SEND_INTERVAL: Duration = Duration::from_millis(2500);
 /// Delay before a newer version is fetched from another VM: the local watch of the store may bring
 /// it in this time.
 const FETCH_AFTER: Duration = Duration::from_millis(150);
@@ -59,15 +59,15 @@
 const FETCH_TIMEOUT: Duration = Duration::from_millis(500);
 /// Time for which a VM that did not answer is not asked again; by then its heartbeats have shown
 /// whether it lives.
-const UNANSWERED_PAUSE: Duration = Duration::from_secs(2);
+const UNANSWERED_RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Endpoints in one heartbeat; keeps the datagram within one packet.
-const ROWS_MAX: usize = 96;
+const HEARTBEAT_ROWS_MAX: usize = 96;
 
 /// Routes and workspaces with waiting tokens in one heartbeat. Those left out count by the
 /// reservations in the store.
-const BACKLOG_MAX: usize = 24;
+const BACKLOG_ROWS_MAX: usize = 24;
 /// Workspaces with requests in one heartbeat: those with the most requests.
-const COUNTS_MAX: usize = 32;
+const COUNT_ROWS_MAX: usize = 32;
 
 /// Path under which another VM is asked for the configuration.
 pub const RULES_PATH: &str = "/rules";
@@ -90,7 +90,7 @@
 
 /// All endpoints that a VM has, for one that can't reach the store.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Endpoints {
+pub struct EndpointList {
     pub entries: Vec<KnownEntry>,
     pub at: Revision,
 }
@@ -98,85 +98,103 @@
 /// Sends heartbeats until the process ends.
 pub async fn send(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut sequence = 0;
-    let mut far_due = Duration::ZERO;
+    let mut remote_due = Duration::ZERO;
     let (mut counts_due, mut all_counts_due) = (Duration::ZERO, Duration::ZERO);
-    let mut told_far = None;
-    let mut told_waiting = 0;
+    let mut remote_versions = None;
+    let mut sent_waiting = 0;
     loop {
         sequence += 1;
-        let beat = heartbeat(&node, sequence);
+        let heartbeat = heartbeat(&node, sequence);
         let now = clock::now();
-        let versions = Some((beat.rules, beat.endpoints, beat.draining, beat.store));
+        let versions = Some((
+            heartbeat.rules,
+            heartbeat.endpoints,
+            heartbeat.draining,
+            heartbeat.store,
+        ));
         // A job was admitted on a route with a limit. Without this, a VM that receives the count
         // half a second later admits more than may wait where the limit was lowered meanwhile.
-        let waiting: u64 = beat.backlog.iter().map(|(_, tokens)| tokens).sum();
-        let lets_in = waiting > told_waiting;
-        let far = now >= far_due || pressed(&node) || versions != told_far || lets_in;
-        let near_quota = near_quota(&node, now, &beat);
-        let far = far || (!near_quota.is_empty() && now >= counts_due);
-        if far {
-            far_due = now + HEARTBEAT;
-            counts_due = now + COUNTS_AGAIN;
-            told_far = versions;
-            told_waiting = waiting;
+        let waiting: u64 = heartbeat.backlog.iter().map(|(_, tokens)| tokens).sum();
+        let has_admitted = waiting > sent_waiting;
+        let to_remote = now >= remote_due
+            || has_preemptible_load(&node)
+            || versions != remote_versions
+            || has_admitted;
+        let near_quota = near_quota_workspaces(&node, now, &heartbeat);
+        let to_remote = to_remote || (!near_quota.is_empty() && now >= counts_due);
+        if to_remote {
+            remote_due = now + HEARTBEAT_INTERVAL;
+            counts_due = now + NEAR_QUOTA_SEND_INTERVAL;
+            remote_versions = versions;
+            sent_waiting = waiting;
         }
         let all_counts = now >= all_counts_due;
-        if far && all_counts {
-            all_counts_due = now + COUNTS_ALL;
+        if to_remote && all_counts {
+            all_counts_due = now + ALL_COUNTS_SEND_INTERVAL;
         }
-        send_near(&node, &socket, &beat);
-        if far {
-            let told = |count: &WorkspaceCount| all_counts || near_quota.contains(&count.workspace);
-            send_far(&node, &socket, without_counts(beat, told));
+        send_to_local_domain(&node, &socket, &heartbeat);
+        if to_remote {
+            let is_sent =
+                |count: &WorkspaceCount| all_counts || near_quota.contains(&count.workspace);
+            send_to_remote_domains(&node, &socket, retain_counts(heartbeat, is_sent));
         }
-        let _ = timeout(HEARTBEAT, node.tell_peers.notified()).await;
+        let _ = timeout(HEARTBEAT_INTERVAL, node.tell_peers.notified()).await;
         let meshed = node
             .core
             .borrow()
             .peers
             .receives_domain_heartbeats(node.vm, node.domain);
-        let pause = match (pressed(&node), meshed) {
-            (_, false) => TOLD_AGAIN_LARGE,
-            (true, true) => TOLD_AGAIN,
-            (false, true) => CALM,
+        let pause = match (has_preemptible_load(&node), meshed) {
+            (_, false) => LARGE_FLEET_SEND_INTERVAL,
+            (true, true) => URGENT_SEND_INTERVAL,
+            (false, true) => SEND_INTERVAL,
         };
         sleep((now + pause).saturating_sub(clock::now())).await;
     }
 }
 
 /// Workspaces with local requests that are near their quotas.
-fn near_quota(node: &Node, now: Duration, beat: &Heartbeat) -> HashSet<WorkspaceKey> {
+fn near_quota_workspaces(
+    node: &Node,
+    now: Duration,
+    heartbeat: &Heartbeat,
+) -> HashSet<WorkspaceKey> {
     let core = node.core.borrow();
-    let rows = beat.counts.rows.iter();
+    let rows = heartbeat.counts.rows.iter();
     let near = rows.filter(|row| quotas::is_pressed(&core, now, row));
     near.map(|row| row.workspace).collect()
 }
 
-fn without_counts(mut beat: Heartbeat, told: impl Fn(&WorkspaceCount) -> bool) -> Heartbeat {
-    beat.counts.rows.retain(told);
-    beat
+fn retain_counts(mut heartbeat: Heartbeat, keep: impl Fn(&WorkspaceCount) -> bool) -> Heartbeat {
+    heartbeat.counts.rows.retain(keep);
+    heartbeat
 }
 
-fn send_near(node: &Node, socket: &UdpSocket, beat: &Heartbeat) {
+fn send_to_local_domain(node: &Node, socket: &UdpSocket, heartbeat: &Heartbeat) {
     let targets = node
         .core
         .borrow()
         .peers
         .heartbeat_targets(node.domain, true);
-    send_to(node, socket, beat.clone(), targets);
+    send_to_targets(node, socket, heartbeat.clone(), targets);
 }
 
-fn send_far(node: &Node, socket: &UdpSocket, beat: Heartbeat) {
+fn send_to_remote_domains(node: &Node, socket: &UdpSocket, heartbeat: Heartbeat) {
     let targets = node
         .core
         .borrow()
         .peers
         .heartbeat_targets(node.domain, false);
-    send_to(node, socket, beat, targets);
+    send_to_targets(node, socket, heartbeat, targets);
 }
 
-fn send_to(node: &Node, socket: &UdpSocket, beat: Heartbeat, targets: Vec<SocketAddr>) {
-    let Some(sealed) = seal(node, &Datagram::Heartbeat(beat)) else {
+fn send_to_targets(
+    node: &Node,
+    socket: &UdpSocket,
+    heartbeat: Heartbeat,
+    targets: Vec<SocketAddr>,
+) {
+    let Some(sealed) = seal(node, &Datagram::Heartbeat(heartbeat)) else {
         return;
     };
     for to in targets {
@@ -185,18 +203,18 @@
     }
 }
 
-/// Encodes and signs a datagram; `None` when that fails, which is logged.
+/// Encodes and authenticates a datagram; `None` when that fails, which is logged.
 pub fn seal(node: &Node, datagram: &Datagram) -> Option<Vec<u8>> {
     match node.key.seal(datagram) {
         Ok(sealed) if sealed.len() <= DATAGRAM_BYTES => return Some(sealed),
-        Ok(sealed) => log::error!(bytes = sealed.len(); "a datagram is too long"),
+        Ok(sealed) => log::error!(bytes = sealed.len(); "datagram too long"),
         Err(error) => log::error!(error:% = error; "a datagram can't be encoded"),
     }
     None
 }
 
 /// Whether an endpoint has more requests than it runs while other VMs have batch items there.
-fn pressed(node: &Node) -> bool {
+fn has_preemptible_load(node: &Node) -> bool {
     let now = clock::now();
     let core = node.core.borrow();
     let rows = &core.online.endpoints.rows;
@@ -222,7 +240,7 @@
         }
     };
     let rows = core.online.endpoints.rows.iter().map(row);
-    let counts = quotas::counts(&core, now, COUNTS_MAX);
+    let counts = quotas::counts(&core, now, COUNT_ROWS_MAX);
     Heartbeat {
         name: node.settings.name.clone(),
         domain: node.domain,
@@ -239,7 +257,7 @@
         peer_port: node.settings.peer_address.port(),
         rows: rows
             .filter(|row| row.uses != EndpointUse::default())
-            .take(ROWS_MAX.saturating_sub(counts.rows.len()))
+            .take(HEARTBEAT_ROWS_MAX.saturating_sub(counts.rows.len()))
             .collect(),
         counts,
     }
@@ -249,20 +267,20 @@
 fn backlog(core: &Core, owner: OwnerId) -> Vec<(RouteKey, u64)> {
     let routes = core.routes.iter().flat_map(|table| &table.rules.routes);
     let limited = routes.filter(|route| route.waiting_tokens_max.is_some());
-    let of = |key: RouteKey| {
-        let own = core.jobs.open_tokens_of(key, |of| of == owner);
+    let tokens_of = |key: RouteKey| {
+        let own = core.jobs.open_tokens_of(key, |id| id == owner);
         let known = |job: &JobId| core.jobs.rows.contains_key(job);
         (key, own + core.backlog.being_written(key, known))
     };
     let keys = limited.flat_map(|route: &Route| {
-        let standing = core.jobs.route_keys(&route.name).into_iter();
-        standing.chain(core.backlog.keys_being_written())
+        let with_jobs = core.jobs.route_keys(&route.name).into_iter();
+        with_jobs.chain(core.backlog.keys_being_written())
     });
     let keys: HashSet<RouteKey> = keys.collect();
-    let mut tokens: Vec<(RouteKey, u64)> = keys.into_iter().map(of).collect();
+    let mut tokens: Vec<(RouteKey, u64)> = keys.into_iter().map(tokens_of).collect();
     tokens.retain(|(_, tokens)| *tokens > 0);
     tokens.sort_by_key(|(_, tokens)| std::cmp::Reverse(*tokens));
-    tokens.truncate(BACKLOG_MAX);
+    tokens.truncate(BACKLOG_ROWS_MAX);
     tokens
 }
 
@@ -273,52 +291,58 @@
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
             Err(error) => {
-                log::warn!(error:% = error; "datagrams can't be received");
-                sleep(CALM).await;
+                log::warn!(error:% = error; "a datagram can't be received");
+                sleep(SEND_INTERVAL).await;
                 continue;
             }
         };
         match node.key.open::<Datagram>(&buffer[..length]) {
-            Ok(Datagram::Heartbeat(beat)) => {
-                if heard(&node, from, beat) {
+            Ok(Datagram::Heartbeat(heartbeat)) => {
+                if apply_heartbeat(&node, from, heartbeat) {
                     quarantine::tell_held(&node, &socket, from);
                 }
             }
             Ok(Datagram::Summary(summary)) => {
-                delegate::heard(&node, &socket, summary, &buffer[..length]);
+                delegate::apply_summary(&node, &socket, summary, &buffer[..length]);
             }
-            Ok(Datagram::Quarantine(told)) => quarantine::heard(&node, &socket, &told),
-            Err(error) => log::warn!(from:% = from, error:% = error; "a datagram was not taken"),
+            Ok(Datagram::Quarantine(reports)) => quarantine::heard(&node, &socket, &reports),
+            Err(error) => log::warn!(from:% = from, error:% = error; "datagram rejected"),
         }
     }
 }
 
 /// Applies a heartbeat; true when its process was not known before.
-fn heard(node: &Node, from: SocketAddr, beat: Heartbeat) -> bool {
-    if beat.name == node.settings.name {
+fn apply_heartbeat(node: &Node, from: SocketAddr, heartbeat: Heartbeat) -> bool {
+    if heartbeat.name == node.settings.name {
         return false;
     }
     let now = clock::now();
     let mut guard = node.core.borrow_mut();
     let core = &mut *guard;
-    let is_new = !core.peers.is_known_process(&beat);
-    let before = core.peers.owner_of(id::of(&beat.name));
-    if !core.peers.apply_heartbeat(now, from, &beat) {
+    let is_new = !core.peers.is_known_process(&heartbeat);
+    let before = core.peers.owner_of(id::of(&heartbeat.name));
+    if !core.peers.apply_heartbeat(now, from, &heartbeat) {
         return false;
     }
-    if let Some(before) = before.filter(|owner| *owner != beat.owner) {
+    if let Some(before) = before.filter(|owner| *owner != heartbeat.owner) {
         core.quotas.replaced(before);
     }
     let theirs = KnownVersions {
-        rules: beat.rules,
-        endpoints: beat.endpoints,
+        rules: heartbeat.rules,
+        endpoints: heartbeat.endpoints,
     };
-    core.take_proofs(now, beat.proofs, theirs);
-    let source = CountSource::Process(beat.owner);
-    core.quotas
-        .apply_report(now, source, word(1, beat.draining, &beat.counts));
-    let rows = beat.rows.into_iter().map(|row| (row.endpoint, row.uses));
-    let touched = core.usage.apply_report(now, id::of(&beat.name), rows);
+    core.take_proofs(now, heartbeat.proofs, theirs);
+    let source = CountSource::Process(heartbeat.owner);
+    core.quotas.apply_report(
+        now,
+        source,
+        count_report(1, heartbeat.draining, &heartbeat.counts),
+    );
+    let rows = heartbeat
+        .rows
+        .into_iter()
+        .map(|row| (row.endpoint, row.uses));
+    let touched = core.usage.apply_report(now, id::of(&heartbeat.name), rows);
     let endpoints = &mut core.online.endpoints;
     let yields = core
         .items
@@ -338,7 +362,7 @@
 }
 
 /// Request counts of a heartbeat or summary as a report to the quotas.
-pub fn word(vms: u32, leaving: bool, counts: &QuotaCounts) -> CountReport<'_> {
+pub fn count_report(vms: u32, leaving: bool, counts: &QuotaCounts) -> CountReport<'_> {
     CountReport {
         vms,
         counted_for: Duration::from_millis(counts.counted_for_ms.into()),
@@ -355,17 +379,17 @@
     let mut unanswered = Unanswered::new();
     loop {
         sleep(FETCH_AFTER).await;
-        let behind = ahead(&node, &unanswered);
-        if behind.rules.is_none() && behind.endpoints.is_none() {
+        let newer = newer_peers(&node, &unanswered);
+        if newer.rules.is_none() && newer.endpoints.is_none() {
             continue;
         }
         sleep(FETCH_AFTER).await;
         unanswered.retain(|_, until| clock::now() < *until);
-        if let Some(from) = ahead(&node, &unanswered).rules {
+        if let Some(from) = newer_peers(&node, &unanswered).rules {
             let fetched = fetch_rules(&node, from).await;
             note_answer(&mut unanswered, from, fetched);
         }
-        if let Some(from) = ahead(&node, &unanswered).endpoints {
+        if let Some(from) = newer_peers(&node, &unanswered).endpoints {
             let fetched = fetch_endpoints(&node, from).await;
             note_answer(&mut unanswered, from, fetched);
         }
@@ -381,11 +405,11 @@
 
 fn note_answer(unanswered: &mut Unanswered, from: SocketAddr, answered: bool) {
     if !answered {
-        unanswered.insert(from, clock::now() + UNANSWERED_PAUSE);
+        unanswered.insert(from, clock::now() + UNANSWERED_RETRY_AFTER);
     }
 }
 
-fn ahead(node: &Node, unanswered: &Unanswered) -> NewerPeers {
+fn newer_peers(node: &Node, unanswered: &Unanswered) -> NewerPeers {
     let core = node.core.borrow();
     let answers = |from| !unanswered.contains_key(&from);
     core.peers
@@ -394,9 +418,9 @@
 
 /// Fetches the configuration from another VM; false when it did not answer.
 async fn fetch_rules(node: &Rc<Node>, from: SocketAddr) -> bool {
-    let told = fetch_from::<Rules>(node, from, RULES_PATH).await;
-    let answered = told.is_some();
-    if let Some(rules) = told {
+    let fetched = fetch_from::<Rules>(node, from, RULES_PATH).await;
+    let answered = fetched.is_some();
+    if let Some(rules) = fetched {
         node.take_rules(rules, "peer");
     }
     answered
@@ -404,18 +428,22 @@
 
 /// Fetches the endpoints from another VM; false when it did not answer.
 async fn fetch_endpoints(node: &Rc<Node>, from: SocketAddr) -> bool {
-    let Some(told) = fetch_from::<Endpoints>(node, from, ENDPOINTS_PATH).await else {
+    let Some(fetched) = fetch_from::<EndpointList>(node, from, ENDPOINTS_PATH).await else {
         return false;
     };
     let changed = {
         let mut core = node.core.borrow_mut();
         let before = core.discovery.revision;
-        if told.at <= before {
+        if fetched.at <= before {
             return true;
         }
-        log::info!(by:% = from, before, at = told.at; "endpoints told by another VM");
-        core.discovery
-            .apply_snapshot(clock::now(), told.entries, told.at, SnapshotSource::Peer)
+        log::info!(by:% = from, before, at = fetched.at; "endpoints told by another VM");
+        core.discovery.apply_snapshot(
+            clock::now(),
+            fetched.entries,
+            fetched.at,
+            SnapshotSource::Peer,
+        )
     };
     node.endpoints_told("peer", changed);
     true
@@ -423,24 +451,24 @@
 
 /// Peer address of a job's owner when that is another living process in a large fleet: there only
 /// the owner follows all changes of a job.
-pub fn owner_elsewhere(node: &Node, owner: OwnerId) -> Option<SocketAddr> {
+pub fn remote_owner(node: &Node, owner: OwnerId) -> Option<SocketAddr> {
     let core = node.core.borrow();
-    let elsewhere = core.peers.is_large() && owner != node.owner;
+    let is_remote = core.peers.is_large() && owner != node.owner;
     let address = core.peers.address(clock::now(), owner);
-    address.filter(|_| elsewhere)
+    address.filter(|_| is_remote)
 }
 
 /// Asks the living owner of a job for a part that it has in memory.
-pub async fn ask_part(node: &Node, owner: OwnerId, key: &str) -> Option<Bytes> {
+pub async fn fetch_part(node: &Node, owner: OwnerId, key: &str) -> Option<Bytes> {
     let from = node.core.borrow().peers.address(clock::now(), owner)?;
     fetch_from(node, from, &format!("{PART_PATH}{key}")).await
 }
 
 async fn fetch_from<T: DeserializeOwned>(node: &Node, from: SocketAddr, path: &str) -> Option<T> {
     match ask(node, from, path, Vec::new(), FETCH_TIMEOUT).await {
-        Ok(told) => Some(told),
+        Ok(value) => Some(value),
         Err(error) => {
-            log::info!(from:% = from, path, error:% = error; "another VM could not be asked");
+            log::info!(from:% = from, path, error:% = error; "request to another VM failed");
             None
         }
     }
@@ -452,7 +480,7 @@
     let key = &node.key;
     let sealed = match path {
         RULES_PATH => core.routes.as_ref().map(|table| key.seal(&table.rules)),
-        ENDPOINTS_PATH => Some(key.seal(&Endpoints {
+        ENDPOINTS_PATH => Some(key.seal(&EndpointList {
             entries: core.discovery.export(clock::now()),
             at: core.discovery.revision,
         })),
--- a/src/serve/proving.rs
+++ b/src/serve/proving.rs
@@ -6,18 +6,18 @@
 use tokio::time::{sleep, timeout};
 
 use super::node::Node;
-use super::watch::{Followed, News, Told};
+use super::watch::{FollowedPrefix, StoreUpdate, WatchAnswer};
 use crate::clock;
 use crate::decide::freshness::{self, StoreSubject};
 use crate::id::Revision;
 use crate::store::{Call, Error, Reply};
 
 /// Wait of a call that only asks whether there are changes by now.
-const PROOF_WAIT: Duration = Duration::from_millis(1);
+const REFRESH_WAIT: Duration = Duration::from_millis(1);
 /// A working watch delivers within this time what another call has returned.
-const WATCH_LATE: Duration = Duration::from_millis(50);
+const WATCH_LAG_MAX: Duration = Duration::from_millis(50);
 /// Time between two checks whether a confirmation is due.
-const PROOF_LOOK: Duration = Duration::from_millis(300);
+const REFRESH_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Asks the store for all entries or for changes; a watch is given up when other calls on the store
 /// fail.
@@ -31,15 +31,15 @@
 /// configuration arrived after 27 s without this, and within 2 s with it.
 pub async fn ask_store(
     node: &Node,
-    followed: Followed,
+    followed: FollowedPrefix,
     at: Option<Revision>,
     wait: Duration,
-) -> Result<Option<Told>, Error> {
+) -> Result<Option<WatchAnswer>, Error> {
     let sent_at = clock::now();
     let Some(after) = at else {
         let (items, at) = node.store.range(followed.prefix).await?;
-        return Ok(Some(Told {
-            news: News::All(items),
+        return Ok(Some(WatchAnswer {
+            update: StoreUpdate::Snapshot(items),
             at,
             asked_at: Some(sent_at),
         }));
@@ -47,27 +47,27 @@
     let mut waiting = pin!(watch(node, followed, after, wait));
     loop {
         tokio::select! {
-            told = &mut waiting => return told.map(Some),
+            answer = &mut waiting => return answer.map(Some),
             () = node.watch_again.notified() => return Ok(None),
-            () = proof_due(node, followed.subject) => {}
+            () = refresh_due(node, followed.subject) => {}
         }
-        let proof_at = clock::now();
-        let proof = tokio::select! {
-            told = &mut waiting => return told.map(Some),
-            told = watch(node, followed, after, PROOF_WAIT) => told?,
+        let refreshed_at = clock::now();
+        let refresh = tokio::select! {
+            answer = &mut waiting => return answer.map(Some),
+            answer = watch(node, followed, after, REFRESH_WAIT) => answer?,
         };
-        if proof.news.is_empty() {
-            node.proved(followed.subject, proof_at);
+        if refresh.update.is_empty() {
+            node.proved(followed.subject, refreshed_at);
             continue;
         }
         // The watch may be about to deliver the same changes.
-        return match timeout(WATCH_LATE, &mut waiting).await {
-            Ok(told) => told.map(Some),
+        return match timeout(WATCH_LAG_MAX, &mut waiting).await {
+            Ok(answer) => answer.map(Some),
             Err(_) => {
                 node.counters.silent_watches.inc();
                 let waited_ms = (clock::now() - sent_at).as_millis() as u64;
                 log::info!(prefix = followed.prefix, waited_ms; "the watch is silent: another call tells more");
-                Ok(Some(proof))
+                Ok(Some(refresh))
             }
         };
     }
@@ -75,10 +75,10 @@
 
 async fn watch(
     node: &Node,
-    followed: Followed,
+    followed: FollowedPrefix,
     after: Revision,
     wait: Duration,
-) -> Result<Told, Error> {
+) -> Result<WatchAnswer, Error> {
     let sent_at = clock::now();
     let call = Call::Watch {
         prefix: followed.prefix.into(),
@@ -86,35 +86,38 @@
         wait,
     };
     match node.store.call(call).await? {
-        Reply::Changes { changes, at } => Ok(Told {
-            news: News::Changes(changes),
+        Reply::Changes { changes, at } => Ok(WatchAnswer {
+            update: StoreUpdate::Changes(changes),
             at,
             asked_at: Some(sent_at),
         }),
         other => Err(Error::Unknown {
-            detail: format!("a reply of another kind: {other:?}"),
+            detail: format!("unexpected reply: {other:?}"),
         }),
     }
 }
 
 /// Waits until this VM has to ask the store again while its watch waits.
-async fn proof_due(node: &Node, subject: StoreSubject) {
+async fn refresh_due(node: &Node, subject: StoreSubject) {
     loop {
-        let due_in = proof_due_in(node, subject);
+        let due_in = refresh_due_in(node, subject);
         if due_in.is_some_and(|left| left.is_zero()) {
             return;
         }
         // Confirmations from other VMs put it off, and the rank of this VM may change.
-        sleep(due_in.map_or(PROOF_LOOK, |left| left.min(PROOF_LOOK))).await;
+        sleep(due_in.map_or(REFRESH_CHECK_INTERVAL, |left| {
+            left.min(REFRESH_CHECK_INTERVAL)
+        }))
+        .await;
     }
 }
 
 /// Time until this VM has to ask the store again; `None` while others do.
-pub fn proof_due_in(node: &Node, subject: StoreSubject) -> Option<Duration> {
+pub fn refresh_due_in(node: &Node, subject: StoreSubject) -> Option<Duration> {
     let now = clock::now();
     let own = node.own();
     let core = node.core.borrow();
-    let place = core.peers.refresh_rank(now, own);
-    let patience = freshness::refresh_after(subject, place, core.peers.is_large())?;
-    Some(core.proofs.refresh_due_in(now, subject, patience))
+    let rank = core.peers.refresh_rank(now, own);
+    let refresh_after = freshness::refresh_after(subject, rank, core.peers.is_large())?;
+    Some(core.proofs.refresh_due_in(now, subject, refresh_after))
 }
--- a/src/serve/relay.rs
+++ b/src/serve/relay.rs
@@ -20,22 +20,22 @@
 /// Path under which another VM is asked to make a call.
 pub const PATH: &str = "/store";
 /// Time for the other VM's own call and the round trip.
-const TIMEOUT: Duration = Duration::from_millis(1500);
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1500);
 /// Result of a call.
-type Outcome = Result<store::Reply, Error>;
+type CallOutcome = Result<store::Reply, Error>;
 
 /// Largest call: a transaction with the parts of a job.
 const CALL_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// A store that makes its calls by way of another VM when `own` doesn't answer.
-pub fn relayed(own: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
+/// A store that makes its calls by way of another VM when `local_store` doesn't answer.
+pub fn relayed(local_store: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
     let node = Rc::new(node);
     Store::new(move |call| {
-        let (own, node) = (own.clone(), node.clone());
+        let (local_store, node) = (local_store.clone(), node.clone());
         Box::pin(async move {
-            let first = own.call(call.clone()).await;
+            let first = local_store.call(call.clone()).await;
             let failed = matches!(first, Err(Error::Away { .. } | Error::Unknown { .. }));
-            match node().filter(|_| failed && may_be_relayed(&call)) {
+            match node().filter(|_| failed && is_relayable(&call)) {
                 Some(node) => relay(&node, call, first).await,
                 None => first,
             }
@@ -44,33 +44,33 @@
 }
 
 /// Watches and full reads are not relayed: their changes come from the other VMs anyway.
-fn may_be_relayed(call: &Call) -> bool {
+fn is_relayable(call: &Call) -> bool {
     !matches!(call, Call::Range { .. } | Call::Watch { .. })
 }
 
 /// Asks another VM to make the call. A transaction that may have taken effect can be sent once
 /// more: its condition holds for at most one of the two, and the code that settles it reads the key
 /// back.
-async fn relay(node: &Node, call: Call, first: Outcome) -> Outcome {
+async fn relay(node: &Node, call: Call, first: CallOutcome) -> CallOutcome {
     let to = node.core.borrow().peers.peer_with_store(clock::now());
     let Some(to) = to else {
         return first;
     };
-    let kind: &'static str = (&call).into();
-    let asked = match node.key.seal(&call) {
-        Ok(sealed) => ask::<Outcome>(node, to, PATH, sealed, TIMEOUT).await,
+    let call_name: &'static str = (&call).into();
+    let outcome = match node.key.seal(&call) {
+        Ok(sealed) => ask::<CallOutcome>(node, to, PATH, sealed, RELAY_TIMEOUT).await,
         Err(error) => Err(error.into()),
     };
-    match asked {
+    match outcome {
         // What the first attempt left in doubt stays in doubt.
         Ok(Err(Error::Away { .. })) => first,
         Ok(reply) => {
-            log::info!(call = kind, by:% = to; "store call made by another VM");
+            log::info!(call = call_name, by:% = to; "store call made by another VM");
             reply
         }
         Err(error) => {
             let detail = format!("{to} did not make the call: {error}");
-            log::info!(call = kind, detail; "store call not made by another VM");
+            log::info!(call = call_name, detail; "store call not made by another VM");
             Err(Error::Unknown { detail })
         }
     }
@@ -88,6 +88,6 @@
             return replies::empty(400);
         }
     };
-    let outcome: Outcome = node.own_store.call(call).await;
+    let outcome: CallOutcome = node.own_store.call(call).await;
     reply(node.key.seal(&outcome))
 }
--- a/src/serve/results.rs
+++ b/src/serve/results.rs
@@ -9,7 +9,7 @@
 
 use super::ask::{ask, reply};
 use super::dialect::ResultRow;
-use super::jobs::{find_for, reread, STORE_AWAY_RETRY};
+use super::jobs::{find_for_caller, reread, STORE_RETRY_AFTER};
 use super::node::Node;
 use super::parts;
 use super::peers;
@@ -23,19 +23,19 @@
 /// follow.
 pub const PATH: &str = "/results/";
 /// Time that the answer of another VM may take beyond the wait.
-const SLACK: Duration = Duration::from_millis(400);
+const ANSWER_MARGIN: Duration = Duration::from_millis(400);
 /// A record that the store has confirmed within this time counts as fresh where the other VMs are
 /// not heard.
-const READ_FRESH: Duration = Duration::from_millis(600);
+const CONFIRMATION_FRESH_FOR: Duration = Duration::from_millis(600);
 /// A working watch is behind the other VMs by no more than its pause and an answer of the store.
-const WATCH_LAG: Duration = Duration::from_millis(700);
-const CATCH_UP_LOOK: Duration = Duration::from_millis(40);
+const WATCH_LAG_MAX: Duration = Duration::from_millis(700);
+const CATCH_UP_CHECK_INTERVAL: Duration = Duration::from_millis(40);
 /// A registration lasts for 3 s and is renewed each 0.9 s; one renewed within this time has missed
 /// one renewal at most.
-const RENEWED_JUST_NOW: Duration = Duration::from_millis(2000);
+const REGISTRATION_FRESH_FOR: Duration = Duration::from_millis(2000);
 /// Longest wait of a reader for new results; callers time out 1.5 s after the wait that they ask
 /// for.
-const WAIT_MAX: Duration = Duration::from_millis(2000);
+const READER_WAIT_MAX: Duration = Duration::from_millis(2000);
 /// Bytes of texts in one page of results; quoting in JSON stays within the page's 1 MB.
 const PAGE_BYTES_MAX: usize = 600 * 1024;
 
@@ -47,9 +47,9 @@
     after: usize,
     wait: Duration,
 ) -> Reply {
-    let until = clock::now() + wait.min(WAIT_MAX);
+    let until = clock::now() + wait.min(READER_WAIT_MAX);
     let record = loop {
-        let record = match find_for(&node, caller, &job).await {
+        let record = match find_for_caller(&node, caller, &job).await {
             Ok(record) => record,
             Err(reply) => return reply,
         };
@@ -57,7 +57,7 @@
         if listed > after || (record.ended() && listed == after) {
             break record;
         }
-        if let Some(reply) = from_owner(&node, &record, after, until).await {
+        if let Some(reply) = read_from_owner(&node, &record, after, until).await {
             return reply;
         }
         // The caller has seen more than this VM: it is behind.
@@ -67,15 +67,15 @@
             wait_for_change(&node, &job, until - now).await;
             continue;
         }
-        if !behind && caught_up(&node, &job).await {
+        if !behind && catch_up(&node, &job).await {
             let core = node.core.borrow();
             let told = core.peers.newest_job_revision(clock::now());
-            let watched = core.jobs.watched;
+            let watched = core.jobs.watched_revision;
             // The record as it is after the wait, not before it.
             let current = core.jobs.rows.get(&job).map(|row| row.record.clone());
             let record = current.unwrap_or(record);
             let listed = record.listed.len();
-            log::info!(job = *job, after, listed, watched, told; "nothing came within the wait");
+            log::info!(job = *job, after, listed, watched, told; "no new results within the wait");
             break record;
         }
         match reread(&node, &job).await {
@@ -83,7 +83,7 @@
             Err(reply) => return reply,
         }
     };
-    page(&node, &record, after).await
+    results_page(&node, &record, after).await
 }
 
 /// Asks the process that runs a job, in a large fleet; `None` when there is no other owner to ask.
@@ -91,16 +91,16 @@
 /// Without this, each listing would have to go to all VMs, since any of them may have a reader, and
 /// a reader that finds no new results would cost a call on the store, since most VMs are not heard.
 /// Only a job's owner lists its results, so it always has all of them.
-async fn from_owner(
+async fn read_from_owner(
     node: &Rc<Node>,
     record: &Record,
     after: usize,
     until: Duration,
 ) -> Option<Reply> {
-    let owner = peers::owner_elsewhere(node, record.owner).filter(|_| !record.ended())?;
+    let owner = peers::remote_owner(node, record.owner).filter(|_| !record.ended())?;
     let wait = until.saturating_sub(clock::now());
     let path = format!("{PATH}{}/{after}/{}", record.id, wait.as_millis());
-    match ask::<Bytes>(node, owner, &path, Vec::new(), wait + SLACK).await {
+    match ask::<Bytes>(node, owner, &path, Vec::new(), wait + ANSWER_MARGIN).await {
         Ok(page) => Some(replies::json(200, page)),
         Err(error) => {
             log::info!(job = *record.id, owner:% = owner, error:% = error; "a job's owner did not tell its results");
@@ -109,25 +109,25 @@
                 Ok(record) => record,
                 Err(reply) => return Some(reply),
             };
-            Some(page(node, &record, after).await)
+            Some(results_page(node, &record, after).await)
         }
     }
 }
 
 /// Answers another VM with the results of a job that is run here, as [`results`] answers callers.
 pub async fn answer(node: &Rc<Node>, path: &str) -> Reply {
-    let mut asked = path.strip_prefix(PATH).unwrap_or_default().split('/');
-    let job: JobId = asked.next().unwrap_or_default().into();
-    let after = asked.next().and_then(|after| after.parse::<usize>().ok());
-    let wait_ms = asked.next().and_then(|wait| wait.parse::<u64>().ok());
+    let mut fields = path.strip_prefix(PATH).unwrap_or_default().split('/');
+    let job: JobId = fields.next().unwrap_or_default().into();
+    let after = fields.next().and_then(|after| after.parse::<usize>().ok());
+    let wait_ms = fields.next().and_then(|wait| wait.parse::<u64>().ok());
     let Some((after, wait_ms)) = after.zip(wait_ms) else {
         return replies::empty(400);
     };
-    let until = clock::now() + Duration::from_millis(wait_ms).min(WAIT_MAX);
+    let until = clock::now() + Duration::from_millis(wait_ms).min(READER_WAIT_MAX);
     let record = loop {
-        let standing = node.core.borrow().jobs.standing(&job);
-        let mine = |record: &Record| owns(node, record.owner, clock::now());
-        let Some((record, _)) = standing.filter(|(record, _)| mine(record)) else {
+        let current = node.core.borrow().jobs.current(&job);
+        let is_local = |record: &Record| is_owner(node, record.owner, clock::now());
+        let Some((record, _)) = current.filter(|(record, _)| is_local(record)) else {
             return replies::empty(404);
         };
         let left = until.saturating_sub(clock::now());
@@ -136,12 +136,12 @@
         }
         wait_for_change(node, &job, left).await;
     };
-    let page = page(node, &record, after).await;
+    let page = results_page(node, &record, after).await;
     match page.status().as_u16() {
         200 => match page.into_body().collect().await {
             Ok(body) => reply(node.key.seal(&body.to_bytes())),
             Err(error) => {
-                log::warn!(job = *job, error:% = error; "results can't be passed on");
+                log::warn!(job = *job, error:% = error; "results can't be forwarded");
                 replies::empty(500)
             }
         },
@@ -151,9 +151,9 @@
 
 /// Whether an owner id is this process's and no other VM can have taken over its jobs: that happens
 /// only when its registration has been gone for 1.5 s, and it was renewed just now.
-fn owns(node: &Node, owner: OwnerId, now: Duration) -> bool {
+fn is_owner(node: &Node, owner: OwnerId, now: Duration) -> bool {
     let renewed_at = node.renewed_at.get();
-    owner == node.owner && renewed_at.is_some_and(|at| now < at + RENEWED_JUST_NOW)
+    owner == node.owner && renewed_at.is_some_and(|at| now < at + REGISTRATION_FRESH_FOR)
 }
 
 /// Whether a reader can be told that there are no new results.
@@ -164,27 +164,27 @@
 fn is_fresh(node: &Node, job: &JobId, now: Duration) -> bool {
     let core = node.core.borrow();
     let row = core.jobs.rows.get(job);
-    let confirmed = row.is_some_and(|row| now < row.confirmed_at + READ_FRESH);
-    let mine = row.is_some_and(|row| owns(node, row.record.owner, now));
-    confirmed || mine || core.peers.all_confirm_jobs(now, core.jobs.watched)
+    let confirmed = row.is_some_and(|row| now < row.confirmed_at + CONFIRMATION_FRESH_FOR);
+    let is_local = row.is_some_and(|row| is_owner(node, row.record.owner, now));
+    confirmed || is_local || core.peers.all_confirm_jobs(now, core.jobs.watched_revision)
 }
 
 /// Waits briefly for the local watch; returns whether a reader can then be told that there are no
 /// new results.
-async fn caught_up(node: &Node, job: &JobId) -> bool {
-    let until = clock::now() + WATCH_LAG;
+async fn catch_up(node: &Node, job: &JobId) -> bool {
+    let until = clock::now() + WATCH_LAG_MAX;
     while !is_fresh(node, job, clock::now()) {
         if clock::now() >= until {
             return false;
         }
-        sleep(CATCH_UP_LOOK).await;
+        sleep(CATCH_UP_CHECK_INTERVAL).await;
     }
     true
 }
 
 async fn wait_for_change(node: &Node, job: &JobId, wait: Duration) {
     node.core.borrow_mut().jobs.readers += 1;
-    let _reader = Reader { node };
+    let _reader = WaitingReader { node };
     let row = {
         let core = node.core.borrow();
         core.jobs.rows.get(job).map(|job| job.changed.clone())
@@ -197,17 +197,17 @@
 }
 
 /// Counts a waiting reader until it is dropped.
-struct Reader<'a> {
+struct WaitingReader<'a> {
     node: &'a Node,
 }
 
-impl Drop for Reader<'_> {
+impl Drop for WaitingReader<'_> {
     fn drop(&mut self) {
         self.node.core.borrow_mut().jobs.readers -= 1;
     }
 }
 
-async fn page(node: &Rc<Node>, record: &Record, after: usize) -> Reply {
+async fn results_page(node: &Rc<Node>, record: &Record, after: usize) -> Reply {
     let mut rows = Vec::new();
     let mut bytes = 0;
     for position in after..record.listed.len() {
@@ -219,7 +219,7 @@
             Ok(texts) => texts,
             Err(error) => {
                 log::warn!(job = *record.id, error:% = error; "results can't be read");
-                return replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY));
+                return replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER));
             }
         };
         let listed = &record.listed[position];
--- a/src/serve/retire.rs
+++ b/src/serve/retire.rs
@@ -11,11 +11,11 @@
 use crate::store::Txn;
 
 /// Attempts to record that a VM is empty; they cover over a minute of an outage of the store.
-const RETIRE_TRIES: usize = 200;
+const RETIRE_ATTEMPTS_MAX: usize = 200;
 
 /// Delay per rank, and between two attempts: by then the VM before this one has written, or will
 /// not.
-const RETIRE_STEP: Duration = Duration::from_millis(300);
+const RETIRE_DELAY: Duration = Duration::from_millis(300);
 
 /// Answers a request to empty a VM with a disk. All durable data is in the metadata store, so such
 /// a VM never holds anything that has to be moved. The first VM by rank records that, and the
@@ -31,14 +31,14 @@
     let store = node.store.clone();
     let vm = vm.to_owned();
     tokio::task::spawn_local(async move {
-        sleep(RETIRE_STEP * rank as u32).await;
-        for _ in 0..RETIRE_TRIES {
+        sleep(RETIRE_DELAY * rank as u32).await;
+        for _ in 0..RETIRE_ATTEMPTS_MAX {
             let expect = match store.get(&key).await {
                 Ok(Some(item)) if item.value == value => return,
                 Ok(found) => found.map_or(0, |item| item.revision),
                 Err(error) => {
-                    log::warn!(vm, error:% = error; "a VM's request to be emptied has to wait");
-                    sleep(RETIRE_STEP).await;
+                    log::warn!(vm, error:% = error; "request to empty a VM delayed: its status can't be read");
+                    sleep(RETIRE_DELAY).await;
                     continue;
                 }
             };
@@ -50,8 +50,8 @@
             match store.try_commit(txn).await {
                 // Another VM wrote first; the next iteration finds its value.
                 Ok(None) => {}
-                Ok(Some(_)) => log::info!(vm, rank; "the VM holds nothing"),
-                Err(error) => log::warn!(vm, error:% = error; "the VM's state can't be written"),
+                Ok(Some(_)) => log::info!(vm, rank; "VM recorded as empty"),
+                Err(error) => log::warn!(vm, error:% = error; "the VM's status can't be written"),
             }
         }
     });
--- a/src/serve/runs.rs
+++ b/src/serve/runs.rs
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 pub use self::claims::adopt;
-use self::claims::{consider_claim, forget_old, remove_old};
+use self::claims::{claim_if_orphaned, forget_expired, remove_expired};
 use self::item::start;
 use self::listing::write_results;
 use super::admit;
@@ -28,28 +28,28 @@
 use crate::id::{self, ConfigVersion, Epoch, JobId, ServiceId};
 
 /// Time between two checks of all jobs.
-const LOOK: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two plans while nothing happens.
-const PLAN: Duration = Duration::from_millis(50);
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause after a write to the store that failed.
-const WRITE_PAUSE: Duration = Duration::from_millis(400);
+const WRITE_RETRY_AFTER: Duration = Duration::from_millis(400);
 /// An item is given up only this long after its retention has passed: this process may have
 /// received the job late, but never early.
 const RETENTION_MARGIN: Duration = Duration::from_secs(2);
 
 /// Progress of one open item.
 #[derive(Debug, Default, Clone)]
-struct Progress {
+struct ItemProgress {
     texts: Vec<String>,
     last_event: Option<u64>,
     failures: u32,
     /// The current run.
-    run: Option<Run>,
+    run: Option<ItemRun>,
 }
 
 /// The current run of an item.
 #[derive(Debug, Clone)]
-struct Run {
+struct ItemRun {
     /// Ends the run at once, whatever has arrived.
     abort: AbortHandle,
     /// Asks the run to stop; the item then waits again with its progress.
@@ -57,17 +57,17 @@
 }
 
 /// One job whose items run here.
-struct Owned {
+struct OwnedJob {
     epoch: Epoch,
     items: Rc<Vec<Item>>,
-    progress: HashMap<ItemIndex, Progress>,
+    progress: HashMap<ItemIndex, ItemProgress>,
     finished: Vec<Finished>,
     /// Failure counts have changed since the record was last written.
-    uncounted: bool,
+    failures_unwritten: bool,
     finished_at: Option<Duration>,
     writing: bool,
     /// When the progress of its items was last saved in the store.
-    kept_at: Duration,
+    saved_at: Duration,
     write_after: Duration,
     due: Duration,
 }
@@ -75,17 +75,21 @@
 /// All jobs whose items run here.
 #[derive(Default)]
 pub struct Runs {
-    owned: RefCell<HashMap<JobId, Owned>>,
+    owned: RefCell<HashMap<JobId, OwnedJob>>,
     loading: RefCell<HashSet<JobId>>,
     /// Jobs without a living owner, and since when.
     orphans: RefCell<HashMap<JobId, Duration>>,
     /// Version of the configuration by which the items' services were last assigned.
-    assigned_by: Cell<ConfigVersion>,
+    assigned_version: Cell<ConfigVersion>,
 }
 
 impl Runs {
     /// Calls `act` with an item's progress; `None` when the item does not run here.
-    fn with_progress<T>(&self, key: &ItemKey, act: impl FnOnce(&mut Progress) -> T) -> Option<T> {
+    fn with_progress<T>(
+        &self,
+        key: &ItemKey,
+        act: impl FnOnce(&mut ItemProgress) -> T,
+    ) -> Option<T> {
         let mut owned = self.owned.borrow_mut();
         let progress = owned.get_mut(&key.job)?.progress.get_mut(&key.item)?;
         Some(act(progress))
@@ -137,33 +141,33 @@
             continue;
         };
         match routes.find(&record.host, &item.path) {
-            Some(route) => core.items.moved(&key, pick(route, &item.id)),
+            Some(route) => core.items.moved(&key, pick_service(route, &item.id)),
             None => given_up.push(key),
         }
     }
     drop((guard, owned));
     for key in given_up {
-        log::info!(job = *key.job, item = key.item; "item given up: no route leads anywhere");
+        log::info!(job = *key.job, item = key.item; "item given up: no route matches");
         finish(node, &key, Outcome::Errored);
     }
 }
 
 /// Picks a service in proportion to the weights, always the same one for an item.
-fn pick(route: &Route, item: &str) -> ServiceId {
+fn pick_service(route: &Route, item: &str) -> ServiceId {
     let draw = id::of(item) as f64 / u64::MAX as f64;
     route.pick(draw.min(0.999_999))
 }
 
 /// Plans, checks and lists batch items until the process ends.
 pub async fn run(node: Rc<Node>) {
-    let mut looked_at = Duration::ZERO;
+    let mut checked_at = Duration::ZERO;
     loop {
         // After a timeout the loop goes on as after a wake-up.
-        let _ = timeout(PLAN, node.plan_items.notified()).await;
+        let _ = timeout(PLAN_INTERVAL, node.plan_items.notified()).await;
         let now = clock::now();
-        if now >= looked_at + LOOK {
-            looked_at = now;
-            look(&node, now);
+        if now >= checked_at + CHECK_INTERVAL {
+            checked_at = now;
+            check_jobs(&node, now);
             admit::look(&node, now);
         }
         plan(&node, now);
@@ -176,14 +180,14 @@
         let mut guard = node.core.borrow_mut();
         let core = &mut *guard;
         note_uses(core);
-        let own = ItemPlanner {
+        let planner = ItemPlanner {
             vm: node.vm,
             domain: node.domain,
             rivals: &core.peers.competing_vms(now, node.domain, node.vm),
             starting: core.stage == Stage::Serving,
         };
         let endpoints = &core.online.endpoints;
-        core.items.plan(now, &own, endpoints, &core.usage)
+        core.items.plan(now, &planner, endpoints, &core.usage)
     };
     if actions.is_empty() {
         return;
@@ -199,7 +203,7 @@
 
 /// Stops a run; it ends within a few iterations of the event loop, and the item waits again.
 fn stop(node: &Node, key: &ItemKey) {
-    let stop = |progress: &mut Progress| progress.run.as_ref().map(|run| run.stop.clone());
+    let stop = |progress: &mut ItemProgress| progress.run.as_ref().map(|run| run.stop.clone());
     if let Some(stop) = node.runs.with_progress(key, stop).flatten() {
         stop.notify_one();
     }
@@ -239,7 +243,7 @@
 }
 
 /// Checks all jobs: adopts, claims, lists, hands over, forgets.
-fn look(node: &Rc<Node>, now: Duration) {
+fn check_jobs(node: &Rc<Node>, now: Duration) {
     let records: Vec<Rc<Record>> = {
         let core = node.core.borrow();
         core.jobs
@@ -251,19 +255,19 @@
     let living = node.core.borrow().peers.living_owners(now);
     for record in &records {
         let job = &record.id;
-        let mine = record.owner == node.owner;
+        let is_local = record.owner == node.owner;
         let epoch = node.runs.owned.borrow().get(job).map(|owned| owned.epoch);
-        if epoch.is_some_and(|epoch| !mine || record.cancelled || epoch != record.epoch) {
+        if epoch.is_some_and(|epoch| !is_local || record.cancelled || epoch != record.epoch) {
             log::info!(job = **job, cancelled = record.cancelled; "job no longer run here");
             forget(node, job);
         }
-        if mine {
+        if is_local {
             adopt(node, job);
         }
-        consider_claim(node, now, record, &living);
+        claim_if_orphaned(node, now, record, &living);
     }
     let version = node.routes().map_or(0, |table| table.rules.version);
-    if node.runs.assigned_by.replace(version) != version {
+    if node.runs.assigned_version.replace(version) != version {
         assign_services(node);
     }
     expire(node, now);
@@ -274,8 +278,8 @@
     for job in owned {
         write_results(node, now, &job);
     }
-    remove_old(node, now);
-    forget_old(node, now);
+    remove_expired(node, now);
+    forget_expired(node, now);
 }
 
 /// Gives up items whose retention has passed.
@@ -324,7 +328,7 @@
     rows
 }
 
-impl Owned {
+impl OwnedJob {
     fn waiting(&self, now: Duration, job: &JobId) -> Vec<Row> {
         let until_ms = Some(self.due.saturating_sub(now).as_millis() as u64);
         let idle = self
@@ -337,8 +341,8 @@
             waits_for: waits_for.into(),
             until_ms,
         };
-        let away = now < self.write_after;
-        let listing = match away {
+        let has_failed = now < self.write_after;
+        let listing = match has_failed {
             true => "the metadata store, which failed a moment ago",
             false => "the next write of the job's record",
         };
--- a/src/serve/runs/claims.rs
+++ b/src/serve/runs/claims.rs
@@ -6,8 +6,8 @@
 
 use tokio::time::sleep;
 
-use super::progress::{self, Made};
-use super::{assign_services, Owned, Progress, RETENTION_MARGIN, WRITE_PAUSE};
+use super::progress::{self, SavedProgress};
+use super::{assign_services, ItemProgress, OwnedJob, RETENTION_MARGIN, WRITE_RETRY_AFTER};
 use crate::clock;
 use crate::decide::items::ItemKey;
 use crate::decide::small_jobs::{
@@ -23,45 +23,45 @@
 
 /// The first VM by rank claims an orphaned job at once; each further rank waits this much longer,
 /// by which time the first VM's claim has been received.
-const CLAIM_STEP: Duration = Duration::from_millis(700);
+const CLAIM_DELAY_PER_RANK: Duration = Duration::from_millis(700);
 /// Time without any sign of life after which an owner counts as gone: its lease may have been lost
 /// while it lives, and it registers again within a second.
-const OWNER_GONE: Duration = Duration::from_millis(1500);
+const OWNER_GONE_AFTER: Duration = Duration::from_millis(1500);
 /// Time in which the first VM by rank removes an old job.
-const FORGOTTEN: Duration = Duration::from_secs(60);
+const REMOVAL_WINDOW: Duration = Duration::from_secs(60);
 /// Keys in one transaction; the store takes 32 entries.
-const DELETES_MAX: usize = 24;
+const DELETED_KEYS_MAX: usize = 24;
 
 /// Takes on a job whose record names this process as owner.
 pub fn adopt(node: &Rc<Node>, job: &JobId) {
-    let standing = node.core.borrow().jobs.standing(job);
-    let Some((record, _)) = standing else {
+    let current = node.core.borrow().jobs.current(job);
+    let Some((record, _)) = current else {
         return;
     };
     let runs = &node.runs;
-    let mine = record.owner == node.owner && !record.ended();
+    let is_local = record.owner == node.owner && !record.ended();
     let known = runs
         .owned
         .borrow()
         .get(job)
         .is_some_and(|owned| owned.epoch == record.epoch);
-    if !mine || known || !runs.loading.borrow_mut().insert(job.clone()) {
+    if !is_local || known || !runs.loading.borrow_mut().insert(job.clone()) {
         return;
     }
     let (node, job) = (node.clone(), job.clone());
     tokio::task::spawn_local(async move {
-        let loaded = load(&node, &record).await;
-        let made = progress::read(&node, &record).await;
+        let loaded = load_items(&node, &record).await;
+        let saved = progress::read(&node, &record).await;
         node.runs.loading.borrow_mut().remove(&job);
         match loaded {
-            Ok(items) => take_on(&node, &record, items, made),
+            Ok(items) => add_job(&node, &record, items, saved),
             // The next check tries again.
             Err(error) => log::warn!(job = *job, error:% = error; "a job's items can't be read"),
         }
     });
 }
 
-async fn load(node: &Rc<Node>, record: &Record) -> Result<Vec<Item>, parts::PartError> {
+async fn load_items(node: &Rc<Node>, record: &Record) -> Result<Vec<Item>, parts::PartError> {
     let mut items = Vec::new();
     for part in 0..record.body_parts.len() {
         let key = body_key(&record.id, part as u32);
@@ -70,35 +70,40 @@
     Ok(items)
 }
 
-fn take_on(node: &Rc<Node>, record: &Record, items: Vec<Item>, mut made: HashMap<ItemIndex, Made>) {
+fn add_job(
+    node: &Rc<Node>,
+    record: &Record,
+    items: Vec<Item>,
+    mut saved: HashMap<ItemIndex, SavedProgress>,
+) {
     let now = clock::now();
     let counts: HashMap<ItemIndex, u32> = record.failures.iter().copied().collect();
     let open = record.open_items();
     let mut ran = HashMap::new();
     let progress = open.iter().map(|item| {
         let failures = counts.get(item).copied().unwrap_or(0);
-        let progress = match made.remove(item) {
-            Some(made) => {
-                ran.insert(*item, Duration::from_millis(made.ran_ms));
-                made.resume(failures)
+        let progress = match saved.remove(item) {
+            Some(saved) => {
+                ran.insert(*item, Duration::from_millis(saved.ran_ms));
+                saved.resume(failures)
             }
-            None => Progress {
+            None => ItemProgress {
                 failures,
-                ..Progress::default()
+                ..ItemProgress::default()
             },
         };
         (*item, progress)
     });
     let due = now + time_left(record);
-    let owned = Owned {
+    let owned = OwnedJob {
         epoch: record.epoch,
         progress: progress.collect::<HashMap<_, _>>(),
         items: Rc::new(items),
         finished: Vec::new(),
-        uncounted: false,
+        failures_unwritten: false,
         finished_at: None,
         writing: false,
-        kept_at: now,
+        saved_at: now,
         write_after: now,
         due,
     };
@@ -108,7 +113,7 @@
             job: record.id.clone(),
             item,
         };
-        // The next check finds its service by the routes.
+        // `assign_services` below sets its service.
         core.items.add(now, key.clone(), 0, due);
         if let Some(ran) = ran.get(&item) {
             core.items.resumed(&key, *ran);
@@ -132,7 +137,7 @@
 }
 
 /// Claims a job whose owner is gone, in an order that is the same on all VMs.
-pub(super) fn consider_claim(
+pub(super) fn claim_if_orphaned(
     node: &Rc<Node>,
     now: Duration,
     record: &Record,
@@ -140,20 +145,20 @@
 ) {
     let mut orphans = node.runs.orphans.borrow_mut();
     let core = node.core.borrow();
-    let lives = record.owner == node.owner || living.contains(&record.owner);
-    let cared_for = record.ended() || lives;
-    if cared_for || core.stage != Stage::Serving {
+    let owner_lives = record.owner == node.owner || living.contains(&record.owner);
+    let needs_no_owner = record.ended() || owner_lives;
+    if needs_no_owner || core.stage != Stage::Serving {
         orphans.remove(&record.id);
         return;
     }
     let since = *orphans.entry(record.id.clone()).or_insert(now);
     let gone_for_certain = record.owner == 0 || core.peers.is_replaced(record.owner);
-    let grace = match gone_for_certain {
+    let gone_after = match gone_for_certain {
         true => Duration::ZERO,
-        false => OWNER_GONE,
+        false => OWNER_GONE_AFTER,
     };
     let rank = core.peers.rank(now, node.vm, id::of(&record.id));
-    if now < since + grace + CLAIM_STEP * rank as u32 {
+    if now < since + gone_after + CLAIM_DELAY_PER_RANK * rank as u32 {
         return;
     }
     let Some(revision) = core.jobs.rows.get(&record.id).map(|job| job.revision) else {
@@ -167,31 +172,32 @@
     drop(core);
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        let settled = jobs::replace(&node, &claim, revision).await;
+        let settled = jobs::replace_record(&node, &claim, revision).await;
         let won = matches!(settled, Settled::Won(_));
         log::info!(job = *claim.id, epoch = claim.epoch, rank, won; "job claimed");
-        let how = if won { "claimed" } else { "claim_lost" };
-        node.counters.jobs.with_label_values(&[how]).inc();
+        let label = if won { "claimed" } else { "claim_lost" };
+        node.counters.jobs.with_label_values(&[label]).inc();
         adopt(&node, &claim.id);
     });
 }
 
 /// Forgets jobs that another VM removed long ago: the deletion may not arrive here.
-pub(super) fn forget_old(node: &Node, now: Duration) {
-    let kept = Duration::from_secs(node.settings.results_kept_s) + RETENTION_MARGIN + FORGOTTEN;
+pub(super) fn forget_expired(node: &Node, now: Duration) {
+    let kept =
+        Duration::from_secs(node.settings.results_kept_s) + RETENTION_MARGIN + REMOVAL_WINDOW;
     let mut core = node.core.borrow_mut();
     let keep = |job: &Job| !job.record.ended() || now < job.first_seen + kept;
     core.jobs.rows.retain(|_, job| keep(job));
 }
 
 /// Removes jobs whose results need not be kept any longer; only the first VM by rank does so.
-pub(super) fn remove_old(node: &Rc<Node>, now: Duration) {
+pub(super) fn remove_expired(node: &Rc<Node>, now: Duration) {
     let kept = Duration::from_secs(node.settings.results_kept_s) + RETENTION_MARGIN;
     let core = node.core.borrow();
     // The rank takes an iteration over all VMs, so it is checked last.
     let old = core.jobs.rows.values().find(|job| {
-        let over = job.record.ended() && now >= job.first_seen + kept;
-        over && core.peers.rank(now, node.vm, id::of(&job.record.id)) == 0
+        let is_expired = job.record.ended() && now >= job.first_seen + kept;
+        is_expired && core.peers.rank(now, node.vm, id::of(&job.record.id)) == 0
     });
     let Some((record, revision)) = old.map(|job| (job.record.clone(), job.revision)) else {
         return;
@@ -202,18 +208,18 @@
     }
     let node = node.clone();
     tokio::task::spawn_local(async move {
-        remove(&node, &record, revision).await;
+        remove_job(&node, &record, revision).await;
         node.runs.loading.borrow_mut().remove(&record.id);
     });
 }
 
 /// Removes a job's keys, the record last, so that what is left after a failure is found again.
-async fn remove(node: &Rc<Node>, record: &Record, revision: Revision) {
+async fn remove_job(node: &Rc<Node>, record: &Record, revision: Revision) {
     let bodies = (0..record.body_parts.len() as u32).map(|part| body_key(&record.id, part));
     let texts = (0..record.text_parts).map(|part| text_key(&record.id, part));
     let keys: Vec<String> = bodies.chain(texts).collect();
     let key = record_key(&record.id);
-    for deletes in keys.chunks(DELETES_MAX) {
+    for deletes in keys.chunks(DELETED_KEYS_MAX) {
         let txn = Txn {
             expect: vec![(key.clone(), revision)],
             writes: Vec::new(),
@@ -221,7 +227,7 @@
         };
         if let Err(error) = node.store.try_commit(txn).await {
             log::info!(job = *record.id, error:% = error; "an old job could not be removed yet");
-            sleep(WRITE_PAUSE).await;
+            sleep(WRITE_RETRY_AFTER).await;
             return;
         }
     }
@@ -233,7 +239,7 @@
         deletes: vec![progress_key(&record.id)],
     };
     if let Err(error) = node.store.try_commit(txn).await {
-        log::info!(job = *record.id, error:% = error; "no progress was removed");
+        log::info!(job = *record.id, error:% = error; "progress of an old job was not removed");
     }
     let txn = Txn {
         expect: vec![(key.clone(), revision)],
@@ -247,6 +253,8 @@
             node.core.borrow_mut().jobs.rows.remove(&record.id);
             log::info!(job = *record.id; "old job removed");
         }
-        Err(error) => log::info!(job = *record.id, error:% = error; "an old job stays for now"),
+        Err(error) => {
+            log::info!(job = *record.id, error:% = error; "an old job's record could not be removed yet")
+        }
     }
 }
--- a/src/serve/runs/item.rs
+++ b/src/serve/runs/item.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::{finish, Run};
+use super::{finish, ItemRun};
 use crate::clock;
 use crate::decide::items::ItemKey;
 use crate::decide::quarantine::Fingerprint;
@@ -29,7 +29,7 @@
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How a run of an item ended.
-enum End {
+enum RunEnd {
     Complete,
     /// The endpoint refused the item for good.
     Rejected,
@@ -39,7 +39,7 @@
     Yielded,
     /// Not sent: the item is quarantined, since it ends the endpoints that run it. Holds the time
     /// left.
-    HeldBack(Duration),
+    Quarantined(Duration),
     Failed(Failure),
 }
 
@@ -64,7 +64,7 @@
     );
     let run = run_item(node.clone(), key, endpoint, items, stop.clone());
     let abort = tokio::task::spawn_local(run).abort_handle();
-    progress.run = Some(Run { abort, stop });
+    progress.run = Some(ItemRun { abort, stop });
 }
 
 async fn run_item(
@@ -74,8 +74,8 @@
     items: Rc<Vec<Item>>,
     stop: Rc<Notify>,
 ) {
-    let out = outgoing(&node, &key, &items);
-    let began = Began {
+    let out = item_request(&node, &key, &items);
+    let start = RunStart {
         at: clock::now(),
         last_event: last_event(&node, &key),
     };
@@ -83,14 +83,14 @@
         Some(out) => {
             let exchanged = exchange_item(&node, &key, endpoint, out);
             let ended = unless_stopped(exchanged, &stop).await;
-            ended.unwrap_or(End::Yielded)
+            ended.unwrap_or(RunEnd::Yielded)
         }
-        None => End::Rejected,
+        None => RunEnd::Rejected,
     };
     let target = node.target(endpoint);
     let ended = match (&end, &out, &target) {
-        (End::Failed(failure), Some(out), Some(target)) if failure.lost => {
-            lost(&node, &key, out, target, began).await
+        (RunEnd::Failed(failure), Some(out), Some(target)) if failure.lost => {
+            report_lost(&node, &key, out, target, start).await
         }
         _ => false,
     };
@@ -98,43 +98,43 @@
     node.runs
         .with_progress(&key, |progress| progress.run = None);
     let what = match &end {
-        End::Complete => "completed",
-        End::Rejected => "rejected",
-        End::ItemFailed => "failed",
-        End::Yielded => "yielded",
-        End::HeldBack(_) => "held_back",
-        End::Failed(_) => "broken_off",
+        RunEnd::Complete => "completed",
+        RunEnd::Rejected => "rejected",
+        RunEnd::ItemFailed => "failed",
+        RunEnd::Yielded => "yielded",
+        RunEnd::Quarantined(_) => "held_back",
+        RunEnd::Failed(_) => "broken_off",
     };
     node.counters.items.with_label_values(&[what]).inc();
     log::info!(
         job = *key.job,
         item = items.get(key.item as usize).map_or("", |item| &*item.id),
-        asked = asked(out.as_ref(), &end).map_or_else(String::new, |asked| asked.to_string()),
+        asked = lost_fingerprint(out.as_ref(), &end).map_or_else(String::new, |asked| asked.to_string()),
         endpoint = target.map_or_else(String::new, |target| target.instance),
         ended,
         what,
         detail = match &end {
-            End::Failed(failure) => failure.detail.as_str(),
+            RunEnd::Failed(failure) => failure.detail.as_str(),
             _ => "",
         };
         "item ran"
     );
     match end {
-        End::Complete => {
+        RunEnd::Complete => {
             if let Some(out) = &out {
                 quarantine::answered(&node, out);
             }
             node.core.borrow_mut().items.completed(now, &key);
             finish(&node, &key, Outcome::Completed);
         }
-        End::Rejected => finish(&node, &key, Outcome::Errored),
-        End::ItemFailed => item_failed(&node, &key, now),
-        End::Yielded => node.core.borrow_mut().items.paused(now, &key, false),
-        End::HeldBack(back_in) => {
+        RunEnd::Rejected => finish(&node, &key, Outcome::Errored),
+        RunEnd::ItemFailed => item_failed(&node, &key, now),
+        RunEnd::Yielded => node.core.borrow_mut().items.paused(now, &key, false),
+        RunEnd::Quarantined(back_in) => {
             let mut core = node.core.borrow_mut();
             core.items.held_back(now, &key, back_in);
         }
-        End::Failed(failure) => {
+        RunEnd::Failed(failure) => {
             let mut core = node.core.borrow_mut();
             if let Some(row) = core
                 .online
@@ -162,7 +162,7 @@
         let Some(job) = guard.get_mut(&key.job) else {
             return;
         };
-        job.uncounted = true;
+        job.failures_unwritten = true;
         job.finished_at.get_or_insert(now);
         let Some(progress) = job.progress.get_mut(&key.item) else {
             return;
@@ -197,30 +197,30 @@
     key: &ItemKey,
     endpoint: EndpointId,
     out: &Outgoing,
-) -> End {
-    let failed = |reach, detail: &str| End::Failed(Failure::blamed(reach, detail));
+) -> RunEnd {
+    let failed = |reach, detail: &str| RunEnd::Failed(Failure::blamed(reach, detail));
     let Some(target) = node.target(endpoint) else {
         let gone = Failure::unblamed(AttemptStage::NotSent, "the endpoint is gone");
-        return End::Failed(gone);
+        return RunEnd::Failed(gone);
     };
     if let Err(back_in) = quarantine::admit(node, out, Trial::Here) {
-        return End::HeldBack(back_in);
+        return RunEnd::Quarantined(back_in);
     }
     let sent = exchange::send(node, &target, out, None, last_event(node, key));
     let answer = match timeout(EVENT_TIMEOUT, sent).await {
         Ok(Ok(answer)) => answer,
-        Ok(Err(failure)) => return End::Failed(failure),
+        Ok(Err(failure)) => return RunEnd::Failed(failure),
         Err(_) => return failed(AttemptStage::MaybeSent, "no answer in time"),
     };
     match answer.head.status {
         StatusCode::OK if answer.said.signed => {}
-        StatusCode::UNPROCESSABLE_ENTITY => return End::Rejected,
-        StatusCode::INTERNAL_SERVER_ERROR => return End::ItemFailed,
+        StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Rejected,
+        StatusCode::INTERNAL_SERVER_ERROR => return RunEnd::ItemFailed,
         status => return failed(AttemptStage::MaybeSent, &format!("answered {status}")),
     }
     let keep_alive = exchange::keep_alive(&answer.head);
     let read = read_events(node, key, endpoint, answer.body).await;
-    if let (End::Complete, Some(keep_alive)) = (&read, keep_alive) {
+    if let (RunEnd::Complete, Some(keep_alive)) = (&read, keep_alive) {
         node.pool.give(endpoint, answer.connection, keep_alive);
     }
     read
@@ -231,9 +231,9 @@
     key: &ItemKey,
     endpoint: EndpointId,
     mut body: Incoming,
-) -> End {
-    let broken = |detail: String| End::Failed(Failure::blamed(AttemptStage::Answering, detail));
-    let lost = |detail: String| End::Failed(Failure::lost(AttemptStage::Answering, detail));
+) -> RunEnd {
+    let broken = |detail: String| RunEnd::Failed(Failure::blamed(AttemptStage::Answering, detail));
+    let lost = |detail: String| RunEnd::Failed(Failure::lost(AttemptStage::Answering, detail));
     let mut splitter = Splitter::default();
     loop {
         let frame = match timeout(EVENT_TIMEOUT, body.frame()).await {
@@ -247,23 +247,28 @@
                     continue;
                 };
                 for event in splitter.push(&data) {
-                    if let Err(detail) = keep_event(node, key, event.id, event.data()) {
+                    if let Err(detail) = record_event(node, key, event.id, event.data()) {
                         return broken(detail);
                     }
                 }
                 if splitter.overlong() {
-                    return broken("an event without an end".into());
+                    return broken("an event is too long".into());
                 }
             }
             Some(Err(error)) => return lost(format!("the stream broke off: {error}")),
             None if splitter.partial() => return lost("the stream ended within an event".into()),
-            None => return End::Complete,
+            None => return RunEnd::Complete,
         }
     }
 }
 
-fn keep_event(node: &Node, key: &ItemKey, event: Option<u64>, text: String) -> Result<(), String> {
-    let kept = node.runs.with_progress(key, |progress| {
+fn record_event(
+    node: &Node,
+    key: &ItemKey,
+    event: Option<u64>,
+    text: String,
+) -> Result<(), String> {
+    let recorded = node.runs.with_progress(key, |progress| {
         if event.is_none() {
             return Err("an event without an id".into());
         }
@@ -272,11 +277,11 @@
         progress.texts.push(text);
         Ok(())
     });
-    kept.unwrap_or_else(|| Err("the job is no longer run here".into()))
+    recorded.unwrap_or_else(|| Err("the job is no longer run here".into()))
 }
 
 /// An item's state when its run began.
-struct Began {
+struct RunStart {
     at: Duration,
     last_event: Option<u64>,
 }
@@ -287,26 +292,32 @@
 }
 
 /// Reports that the connection of a run broke; true when its endpoint has ended.
-async fn lost(node: &Node, key: &ItemKey, out: &Outgoing, target: &Target, began: Began) -> bool {
+async fn report_lost(
+    node: &Node,
+    key: &ItemKey,
+    out: &Outgoing,
+    target: &Target,
+    start: RunStart,
+) -> bool {
     let run = quarantine::Run {
         out,
         target,
-        ran: clock::now().saturating_sub(began.at),
-        progressed: last_event(node, key) > began.last_event,
+        ran: clock::now().saturating_sub(start.at),
+        progressed: last_event(node, key) > start.last_event,
     };
     quarantine::lost(node, run).await
 }
 
 /// Fingerprint of an item whose run lost its connection.
-fn asked(out: Option<&Outgoing>, end: &End) -> Option<Fingerprint> {
-    let lost = matches!(end, End::Failed(failure) if failure.lost);
+fn lost_fingerprint(out: Option<&Outgoing>, end: &RunEnd) -> Option<Fingerprint> {
+    let lost = matches!(end, RunEnd::Failed(failure) if failure.lost);
     out.filter(|_| lost).map(Outgoing::fingerprint)
 }
 
 /// The item as a request; `None` when it is no valid one.
-fn outgoing(node: &Node, key: &ItemKey, items: &[Item]) -> Option<Outgoing> {
+fn item_request(node: &Node, key: &ItemKey, items: &[Item]) -> Option<Outgoing> {
     let item = items.get(key.item as usize)?;
-    let (record, _) = node.core.borrow().jobs.standing(&key.job)?;
+    let (record, _) = node.core.borrow().jobs.current(&key.job)?;
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let name: HeaderName = name.parse().ok()?;
--- a/src/serve/runs/listing.rs
+++ b/src/serve/runs/listing.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::{forget, progress, WRITE_PAUSE};
+use super::{forget, progress, WRITE_RETRY_AFTER};
 use crate::clock;
 use crate::decide::small_jobs::{text_key, Finished, ItemIndex, Listing, Record};
 use crate::id::{self, JobId, Revision};
@@ -13,17 +13,17 @@
 use crate::util;
 
 /// Results that finish within this time are listed by one write; readers ask twice a second.
-const GROUP: Duration = Duration::from_millis(1000);
+const GROUP_WINDOW: Duration = Duration::from_millis(1000);
 /// The same for results that are due soon.
-const GROUP_DUE: Duration = Duration::from_millis(100);
+const GROUP_WINDOW_DUE_SOON: Duration = Duration::from_millis(100);
 /// Results of a job with less time left than this are due soon.
-const DUE_SOON: Duration = Duration::from_millis(2500);
+const DUE_SOON_WITHIN: Duration = Duration::from_millis(2500);
 
 /// Lists finished results, with one write at a time for each job; hands the job over while
 /// draining.
 pub(super) fn write_results(node: &Rc<Node>, now: Duration, job: &JobId) {
-    let standing = node.core.borrow().jobs.standing(job);
-    let Some((record, revision)) = standing else {
+    let current = node.core.borrow().jobs.current(job);
+    let Some((record, revision)) = current else {
         return;
     };
     let mut guard = node.runs.owned.borrow_mut();
@@ -33,18 +33,18 @@
     if owned.writing || now < owned.write_after {
         return;
     }
-    let waiting = !owned.finished.is_empty() || owned.uncounted;
+    let waiting = !owned.finished.is_empty() || owned.failures_unwritten;
     if !waiting && !node.is_draining() {
         drop(guard);
-        progress::keep(node, now, job, &record, revision);
+        progress::save(node, now, job, &record, revision);
         return;
     }
     if !waiting {
-        let runs = owned
+        let is_running = owned
             .progress
             .values()
             .any(|progress| progress.run.is_some());
-        if !runs {
+        if !is_running {
             owned.writing = true;
             drop(guard);
             tokio::task::spawn_local(hand_over(node.clone(), record, revision));
@@ -52,12 +52,12 @@
         return;
     }
     let last = owned.progress.is_empty();
-    let group = match now + DUE_SOON < owned.due {
-        true => GROUP,
-        false => GROUP_DUE,
+    let group = match now + DUE_SOON_WITHIN < owned.due {
+        true => GROUP_WINDOW,
+        false => GROUP_WINDOW_DUE_SOON,
     };
-    let in_time = last || node.is_draining();
-    if !in_time && owned.finished_at.is_some_and(|at| now < at + group) {
+    let at_once = last || node.is_draining();
+    if !at_once && owned.finished_at.is_some_and(|at| now < at + group) {
         return;
     }
     let failures: Vec<(ItemIndex, u32)> = owned
@@ -73,31 +73,31 @@
         // finds out.
         let listed = |result: &Finished| !record.is_listed(result.item);
         owned.finished.retain(listed);
-        owned.uncounted = false;
+        owned.failures_unwritten = false;
         owned.finished_at = None;
         return;
     };
     owned.writing = true;
-    owned.uncounted = false;
+    owned.failures_unwritten = false;
     drop(guard);
-    tokio::task::spawn_local(list(node.clone(), listing, revision));
+    tokio::task::spawn_local(write_listing(node.clone(), listing, revision));
 }
 
-async fn list(node: Rc<Node>, listing: Listing, revision: Revision) {
+async fn write_listing(node: Rc<Node>, listing: Listing, revision: Revision) {
     let record = &listing.record;
     let parts = listing.parts.iter();
     let writes: Vec<_> = parts
         .map(|(part, texts)| write(text_key(&record.id, *part), encode(texts)))
         .collect();
-    let settled = jobs::replace_with(&node, record, revision, writes).await;
+    let settled = jobs::replace_record_with_parts(&node, record, revision, writes).await;
     let won = matches!(settled, Settled::Won(_));
     let (listed, total) = (record.listed.len(), record.items.len());
     log::info!(job = *record.id, won, listed, total; "results listed");
-    written(&node, record, &settled);
+    note_write(&node, record, &settled);
 }
 
 /// Updates the job's state by the outcome of a write of its record.
-fn written(node: &Node, record: &Record, settled: &Settled) {
+fn note_write(node: &Node, record: &Record, settled: &Settled) {
     let now = clock::now();
     let mut guard = node.runs.owned.borrow_mut();
     let Some(owned) = guard.get_mut(&record.id) else {
@@ -115,10 +115,10 @@
             }
         }
         // Another writer came first: list again, on top of its record.
-        Settled::Lost(_) => owned.uncounted = true,
+        Settled::Lost(_) => owned.failures_unwritten = true,
         Settled::Away(_) | Settled::Unknown(_) => {
-            owned.uncounted = true;
-            owned.write_after = now + WRITE_PAUSE;
+            owned.failures_unwritten = true;
+            owned.write_after = now + WRITE_RETRY_AFTER;
         }
     }
 }
@@ -132,16 +132,16 @@
         .peers
         .successor(now, id::of(&record.id))
         .unwrap_or(0);
-    let Some(without) = record.hand_over(node.owner, to, util::nonce()) else {
+    let Some(handed_over) = record.hand_over(node.owner, to, util::nonce()) else {
         return;
     };
-    progress::keep_last(&node, now, &record, revision).await;
-    let settled = jobs::replace(&node, &without, revision).await;
+    progress::save_last(&node, now, &record, revision).await;
+    let settled = jobs::replace_record(&node, &handed_over, revision).await;
     let won = matches!(settled, Settled::Won(_));
-    log::info!(job = *without.id, to, won, open = without.open_items().len(); "job handed over");
+    log::info!(job = *handed_over.id, to, won, open = handed_over.open_items().len(); "job handed over");
     if won {
-        forget(&node, &without.id);
+        forget(&node, &handed_over.id);
     } else {
-        written(&node, &without, &settled);
+        note_write(&node, &handed_over, &settled);
     }
 }
--- a/src/serve/runs/progress.rs
+++ b/src/serve/runs/progress.rs
@@ -13,7 +13,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Owned, Progress};
+use super::{ItemProgress, OwnedJob};
 use crate::decide::items::{ItemKey, Items};
 use crate::decide::small_jobs::{progress_key, record_key, ItemIndex, Record, PART_BYTES_MAX};
 use crate::id::{JobId, Revision};
@@ -23,11 +23,11 @@
 
 /// Time between two writes for one job. A death loses half of it on average for each item that runs
 /// there; each write is one call on the store.
-const PAUSE: Duration = Duration::from_millis(2000);
+const SAVE_INTERVAL: Duration = Duration::from_millis(2000);
 
 /// Saved progress of one item.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(super) struct Made {
+pub(super) struct SavedProgress {
     pub item: ItemIndex,
     /// The event that `text` ends with.
     pub last_event: u64,
@@ -38,55 +38,55 @@
 }
 
 /// Saves the progress of a job's items, if it is time.
-pub(super) fn keep(node: &Rc<Node>, now: Duration, job: &JobId, record: &Record, at: Revision) {
-    let made = {
+pub(super) fn save(node: &Rc<Node>, now: Duration, job: &JobId, record: &Record, at: Revision) {
+    let saved = {
         let mut guard = node.runs.owned.borrow_mut();
         let Some(owned) = guard.get_mut(job) else {
             return;
         };
-        if now < owned.kept_at + PAUSE || !node.store_answers.get() {
+        if now < owned.saved_at + SAVE_INTERVAL || !node.store_answers.get() {
             return;
         }
-        owned.kept_at = now;
-        made(now, job, owned, &node.core.borrow().items)
+        owned.saved_at = now;
+        job_progress(now, job, owned, &node.core.borrow().items)
     };
-    let Some(write) = as_write(&record.id, &made) else {
+    let Some(write) = progress_write(&record.id, &saved) else {
         return;
     };
-    let txn = beside(record, at, write);
+    let txn = guarded_txn(record, at, write);
     let (node, job) = (node.clone(), job.clone());
     tokio::task::spawn_local(async move {
-        let items = made.len();
+        let items = saved.len();
         match node.store.try_commit(txn).await {
-            Ok(Some(_)) => log::debug!(job = *job, items; "progress kept"),
+            Ok(Some(_)) => log::debug!(job = *job, items; "progress saved"),
             // The record has changed meanwhile; the next check writes again.
-            Ok(None) => log::debug!(job = *job; "progress not kept: the record has changed"),
-            Err(error) => log::info!(job = *job, error:% = error; "progress not kept"),
+            Ok(None) => log::debug!(job = *job; "progress not saved: the record has changed"),
+            Err(error) => log::info!(job = *job, error:% = error; "progress not saved"),
         }
     });
 }
 
 /// Saves the progress of a job's items before the job is handed over.
-pub(super) async fn keep_last(node: &Node, now: Duration, record: &Record, at: Revision) {
-    let made = {
+pub(super) async fn save_last(node: &Node, now: Duration, record: &Record, at: Revision) {
+    let saved = {
         let owned = node.runs.owned.borrow();
         let core = node.core.borrow();
         let job = &record.id;
         owned
             .get(job)
-            .map(|owned| made(now, job, owned, &core.items))
+            .map(|owned| job_progress(now, job, owned, &core.items))
     };
-    let Some(write) = as_write(&record.id, &made.unwrap_or_default()) else {
+    let Some(write) = progress_write(&record.id, &saved.unwrap_or_default()) else {
         return;
     };
-    if let Err(error) = node.store.try_commit(beside(record, at, write)).await {
-        log::info!(job = *record.id, error:% = error; "progress not kept");
+    if let Err(error) = node.store.try_commit(guarded_txn(record, at, write)).await {
+        log::info!(job = *record.id, error:% = error; "progress not saved");
     }
 }
 
 /// A write that takes effect only while the job's record is unchanged, and so while this process
 /// owns the job.
-fn beside(record: &Record, at: Revision, write: Write) -> Txn {
+fn guarded_txn(record: &Record, at: Revision, write: Write) -> Txn {
     Txn {
         expect: vec![(record_key(&record.id), at)],
         writes: vec![write],
@@ -95,32 +95,32 @@
 }
 
 /// The progress of a job's items.
-fn made(now: Duration, job: &JobId, owned: &Owned, items: &Items) -> Vec<Made> {
-    let made = |(item, progress): (&ItemIndex, &Progress)| {
+fn job_progress(now: Duration, job: &JobId, owned: &OwnedJob, items: &Items) -> Vec<SavedProgress> {
+    let to_saved = |(item, progress): (&ItemIndex, &ItemProgress)| {
         let key = ItemKey {
             job: job.clone(),
             item: *item,
         };
-        Some(Made {
+        Some(SavedProgress {
             item: *item,
             last_event: progress.last_event?,
             text: progress.texts.join("\n"),
             ran_ms: items.ran(now, &key).as_millis() as u64,
         })
     };
-    owned.progress.iter().filter_map(made).collect()
+    owned.progress.iter().filter_map(to_saved).collect()
 }
 
 /// The write of a job's progress; `None` when there is none, or more than a value holds: such a job
 /// starts again after a death.
-fn as_write(job: &JobId, made: &[Made]) -> Option<Write> {
-    let bytes: usize = made.iter().map(|one| one.text.len()).sum();
-    let fits = !made.is_empty() && bytes <= PART_BYTES_MAX;
-    fits.then(|| write(progress_key(job), encode(&made)))
+fn progress_write(job: &JobId, saved: &[SavedProgress]) -> Option<Write> {
+    let bytes: usize = saved.iter().map(|one| one.text.len()).sum();
+    let fits = !saved.is_empty() && bytes <= PART_BYTES_MAX;
+    fits.then(|| write(progress_key(job), encode(&saved)))
 }
 
 /// Reads the progress of a claimed job's items, as its former owner saved it.
-pub(super) async fn read(node: &Node, record: &Record) -> HashMap<ItemIndex, Made> {
+pub(super) async fn read(node: &Node, record: &Record) -> HashMap<ItemIndex, SavedProgress> {
     if record.epoch <= 1 {
         return HashMap::new();
     }
@@ -129,26 +129,26 @@
         Ok(Some(item)) => item.value,
         Ok(None) => return HashMap::new(),
         Err(error) => {
-            log::info!(job = *record.id, error:% = error; "no progress: its items start anew");
+            log::info!(job = *record.id, error:% = error; "progress can't be fetched: items start again");
             return HashMap::new();
         }
     };
-    match serde_json::from_slice::<Vec<Made>>(&value) {
-        Ok(made) => {
-            log::info!(job = *record.id, items = made.len(); "items go on where they were");
-            made.into_iter().map(|one| (one.item, one)).collect()
+    match serde_json::from_slice::<Vec<SavedProgress>>(&value) {
+        Ok(saved) => {
+            log::info!(job = *record.id, items = saved.len(); "items go on where they were");
+            saved.into_iter().map(|one| (one.item, one)).collect()
         }
         Err(error) => {
-            log::error!(key, error:% = error; "progress can't be read: items start anew");
+            log::error!(key, error:% = error; "progress can't be decoded: items start again");
             HashMap::new()
         }
     }
 }
 
-impl Made {
+impl SavedProgress {
     /// Progress of an item that resumes after the saved text.
-    pub(super) fn resume(self, failures: u32) -> Progress {
-        Progress {
+    pub(super) fn resume(self, failures: u32) -> ItemProgress {
+        ItemProgress {
             texts: vec![self.text],
             last_event: Some(self.last_event),
             failures,
--- a/src/serve/watch.rs
+++ b/src/serve/watch.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use super::node::{Core, Node};
-use super::proving::{ask_store, proof_due_in};
+use super::proving::{ask_store, refresh_due_in};
 use super::retire::retire;
 use crate::clock;
 use crate::decide::discovery::{KnownEntry, SnapshotSource};
@@ -18,52 +18,52 @@
 
 /// Longest wait of one watch. It doesn't bound how late a change may be seen: the confirmations
 /// that are requested meanwhile do.
-pub const WAIT: Duration = Duration::from_secs(29);
+pub const WATCH_WAIT_MAX: Duration = Duration::from_secs(29);
 /// First pause after a failed call. The pause is drawn from this value up to three times it, so
 /// that all VMs together stay below the store's rate limits while it is unavailable.
-const FAILED_PAUSE: Duration = Duration::from_millis(150);
+const RETRY_PAUSE_FIRST: Duration = Duration::from_millis(150);
 /// Growth of the pause with each further failure, and its limit before the draw. Outages last for
 /// seconds and every call is paid for, refused ones too; a VM that finds the store back a second
 /// later has lost nothing, since other VMs send it what has changed.
-const FAILED_GROWTH: f64 = 1.6;
-const FAILED_PAUSE_MAX: Duration = Duration::from_millis(450);
+const RETRY_PAUSE_GROWTH: f64 = 1.6;
+const RETRY_PAUSE_MAX: Duration = Duration::from_millis(450);
 /// Longest pause after the draw: below the second for which an outage is remembered. A later read
 /// took entries that had lapsed in the outage for removed ones, and callers found no endpoint.
-const FAILED_PAUSE_LONGEST: Duration = Duration::from_millis(900);
+const DRAWN_PAUSE_MAX: Duration = Duration::from_millis(900);
 /// Pause after a watch has delivered changes and before it is set anew: changes that come together,
 /// as when many endpoints register at once, reach each VM in one answer. Drains are seen this much
 /// later, out of the seconds that they have.
-const PACE: Duration = Duration::from_millis(200);
+const WATCH_INTERVAL: Duration = Duration::from_millis(200);
 /// Delegates of a starting fleet are heard within this time; the VMs that they represent need no
 /// watches until then.
-const SETTLE: Duration = Duration::from_millis(1500);
+const STARTUP_WINDOW: Duration = Duration::from_millis(1500);
 /// Time between two checks of a VM that delegates update whether they still do.
-const REST: Duration = Duration::from_millis(300);
+const DELEGATE_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 /// Time after a failure by which the store's watches deliver changes again.
-const CONFIRM: Duration = Duration::from_millis(1200);
+const REREAD_AFTER: Duration = Duration::from_millis(1200);
 
 /// What an answer brings to a follower.
-pub enum News {
+pub enum StoreUpdate {
     /// All current entries.
-    All(Vec<Item>),
+    Snapshot(Vec<Item>),
     Changes(Vec<Change>),
     /// Changes from another VM, which may be late by an unknown time.
-    PassedOn(Vec<Change>),
+    Relayed(Vec<Change>),
 }
 
-impl News {
+impl StoreUpdate {
     pub fn is_empty(&self) -> bool {
         match self {
-            News::All(_) => false,
-            News::Changes(changes) | News::PassedOn(changes) => changes.is_empty(),
+            StoreUpdate::Snapshot(_) => false,
+            StoreUpdate::Changes(changes) | StoreUpdate::Relayed(changes) => changes.is_empty(),
         }
     }
 
     /// The written entries, without the deletions.
-    pub fn written(self) -> Vec<Item> {
+    pub fn into_written(self) -> Vec<Item> {
         match self {
-            News::All(items) => items,
-            News::Changes(changes) | News::PassedOn(changes) => {
+            StoreUpdate::Snapshot(items) => items,
+            StoreUpdate::Changes(changes) | StoreUpdate::Relayed(changes) => {
                 changes.into_iter().filter_map(written).collect()
             }
         }
@@ -72,14 +72,14 @@
 
 /// A subject to follow, and the prefix of its keys.
 #[derive(Clone, Copy)]
-pub struct Followed {
+pub struct FollowedPrefix {
     pub subject: StoreSubject,
     pub prefix: &'static str,
 }
 
 /// The answer to one request for changes.
-pub struct Told {
-    pub news: News,
+pub struct WatchAnswer {
+    pub update: StoreUpdate,
     /// Revision up to which the answer is complete.
     pub at: Revision,
     /// When the store was asked; `None` for an answer of another VM.
@@ -97,62 +97,64 @@
 /// when it was interrupted.
 pub async fn follow(
     node: Rc<Node>,
-    Followed { subject, prefix }: Followed,
-    pace: fn(&Node) -> Duration,
-    ask: impl AsyncFn(&Rc<Node>, Option<Revision>, Duration) -> Result<Option<Told>, Error>,
-    mut take: impl FnMut(&Node, News, Revision),
+    FollowedPrefix { subject, prefix }: FollowedPrefix,
+    interval: fn(&Node) -> Duration,
+    ask: impl AsyncFn(&Rc<Node>, Option<Revision>, Duration) -> Result<Option<WatchAnswer>, Error>,
+    mut apply: impl FnMut(&Node, StoreUpdate, Revision),
 ) {
     let mut at: Option<Revision> = None;
-    let mut away = false;
-    let mut pause = FAILED_PAUSE;
+    let mut is_unavailable = false;
+    let mut pause = RETRY_PAUSE_FIRST;
     // When all entries are read once more after a failure.
-    let mut confirm_at: Option<Duration> = None;
+    let mut reread_at: Option<Duration> = None;
     loop {
         let now = clock::now();
-        if confirm_at.is_some_and(|due| now >= due) {
-            confirm_at = None;
+        if reread_at.is_some_and(|due| now >= due) {
+            reread_at = None;
             at = None;
         }
-        let wait = confirm_at.map_or(WAIT, |due| due.saturating_sub(now).min(WAIT));
+        let wait = reread_at.map_or(WATCH_WAIT_MAX, |due| {
+            due.saturating_sub(now).min(WATCH_WAIT_MAX)
+        });
         match ask(&node, at, wait).await {
             Ok(None) => {
                 if at.is_some() {
                     log::info!(prefix; "the watch is given up: all is read again, or delegates tell it");
                 }
                 at = None;
-                confirm_at = Some(clock::now() + CONFIRM);
+                reread_at = Some(clock::now() + REREAD_AFTER);
             }
-            Ok(Some(told)) => {
-                if away {
-                    log::info!(prefix, revision = told.at; "the store is back");
-                    away = false;
+            Ok(Some(answer)) => {
+                if is_unavailable {
+                    log::info!(prefix, revision = answer.at; "the store is back");
+                    is_unavailable = false;
                 }
-                pause = FAILED_PAUSE;
-                let quiet = told.news.is_empty();
-                take(&node, told.news, told.at);
-                at = Some(told.at);
+                pause = RETRY_PAUSE_FIRST;
+                let is_empty = answer.update.is_empty();
+                apply(&node, answer.update, answer.at);
+                at = Some(answer.at);
                 // Only now does this VM have all that the answer confirms.
-                if let Some(asked_at) = told.asked_at {
+                if let Some(asked_at) = answer.asked_at {
                     node.proved(subject, asked_at);
                 }
-                if !quiet {
-                    sleep(pace(&node)).await;
+                if !is_empty {
+                    sleep(interval(&node)).await;
                 }
             }
             Err(Error::Compacted) => {
-                log::info!(prefix; "the store has dropped its history: reading all again");
+                log::info!(prefix; "the store has dropped its history: reading all entries again");
                 at = None;
             }
             Err(error) => {
-                if !away {
+                if !is_unavailable {
                     log::warn!(prefix, error:% = error; "the store is away");
-                    away = true;
+                    is_unavailable = true;
                 }
                 at = None;
-                confirm_at = Some(clock::now() + CONFIRM);
+                reread_at = Some(clock::now() + REREAD_AFTER);
                 let drawn = pause.mul_f64(util::rng().random_range(1.0..3.0));
-                sleep(drawn.min(FAILED_PAUSE_LONGEST)).await;
-                pause = pause.mul_f64(FAILED_GROWTH).min(FAILED_PAUSE_MAX);
+                sleep(drawn.min(DRAWN_PAUSE_MAX)).await;
+                pause = pause.mul_f64(RETRY_PAUSE_GROWTH).min(RETRY_PAUSE_MAX);
             }
         }
     }
@@ -162,63 +164,67 @@
 ///
 /// Without this, each of 250 VMs has a watch of its own, and the replacement of one endpoint takes
 /// a thousand calls, which are priced and rate-limited. Delegates alone make a twentieth of them.
-fn is_told(node: &Node, subject: StoreSubject) -> bool {
+fn is_updated_by_delegate(node: &Node, subject: StoreSubject) -> bool {
     let own = node.own();
-    settles(node) || {
+    is_starting(node) || {
         let core = node.core.borrow();
-        knows_all(&core)
+        is_loaded(&core)
             && core.peers.is_updated_by_delegate(clock::now(), own)
-            && !steps_in(node, subject)
+            && !must_ask_store(node, subject)
     }
 }
 
 /// Whether this VM, which delegates represent, has to follow the store itself because their
 /// confirmations are overdue.
-fn steps_in(node: &Node, subject: StoreSubject) -> bool {
-    proof_due_in(node, subject).is_some_and(|left| left.is_zero())
+fn must_ask_store(node: &Node, subject: StoreSubject) -> bool {
+    refresh_due_in(node, subject).is_some_and(|left| left.is_zero())
 }
 
 /// Whether the fleet has just started, and the delegates of this VM have not been heard yet.
-pub fn settles(node: &Node) -> bool {
+pub fn is_starting(node: &Node) -> bool {
     let own = node.own();
     let core = node.core.borrow();
-    let starts = clock::now() < node.started_at + SETTLE;
-    starts && knows_all(&core) && core.peers.is_represented(own)
+    let starts = clock::now() < node.started_at + STARTUP_WINDOW;
+    starts && is_loaded(&core) && core.peers.is_represented(own)
 }
 
-fn knows_all(core: &Core) -> bool {
+fn is_loaded(core: &Core) -> bool {
     core.routes.is_some() && core.discovery.is_loaded()
 }
 
 /// Waits in place of a request while delegates send the changes.
-pub async fn rest() -> Result<Option<Told>, Error> {
-    sleep(REST).await;
+pub async fn wait_for_delegates() -> Result<Option<WatchAnswer>, Error> {
+    sleep(DELEGATE_CHECK_INTERVAL).await;
     Ok(None)
 }
 
-/// Follows a prefix at the store, without delay beyond [`PACE`].
-async fn follow_store(node: Rc<Node>, followed: Followed, take: impl FnMut(&Node, News, Revision)) {
+/// Follows a prefix at the store, without delay beyond [`WATCH_INTERVAL`].
+async fn follow_store(
+    node: Rc<Node>,
+    followed: FollowedPrefix,
+    apply: impl FnMut(&Node, StoreUpdate, Revision),
+) {
     let ask = async |node: &Rc<Node>, at: Option<Revision>, wait: Duration| {
-        if is_told(node, followed.subject) {
-            return rest().await;
+        if is_updated_by_delegate(node, followed.subject) {
+            return wait_for_delegates().await;
         }
         ask_store(node, followed, at, wait).await
     };
-    follow(node, followed, |_| PACE, ask, take).await;
+    follow(node, followed, |_| WATCH_INTERVAL, ask, apply).await;
 }
 
 /// Follows the configuration and the requests to empty VMs.
 pub async fn operators(node: Rc<Node>) {
-    let followed = Followed {
+    let followed = FollowedPrefix {
         subject: StoreSubject::Rules,
         prefix: node.dialect.keys.operators,
     };
-    let take = |node: &Node, news: News, _| {
-        for item in news.written() {
-            operators_item(node, &item);
+    let apply = |node: &Node, update: StoreUpdate, _| {
+        for item in update.into_written() {
+            apply_operator_item(node, &item);
         }
     };
-    follow_store(node, followed, take).await;
+    follow_store(node, followed, apply).await;
 }
 
 fn written(change: Change) -> Option<Item> {
@@ -228,13 +234,13 @@
     }
 }
 
-fn operators_item(node: &Node, item: &Item) {
+fn apply_operator_item(node: &Node, item: &Item) {
     let keys = node.dialect.keys;
     if item.key == keys.rules {
         match (node.dialect.rules)(&item.value) {
             Ok(rules) => node.take_rules(rules, "store"),
             // The configuration in force stays in force.
-            Err(error) => log::error!(key = item.key, error; "rules can't be read"),
+            Err(error) => log::error!(key = item.key, error; "configuration can't be read"),
         }
     } else if let Some(vm) = item.key.strip_prefix(keys.retire) {
         retire(node, vm);
@@ -243,33 +249,35 @@
 
 /// Follows the endpoints.
 pub async fn endpoints(node: Rc<Node>) {
-    let followed = Followed {
+    let followed = FollowedPrefix {
         subject: StoreSubject::Endpoints,
         prefix: node.dialect.keys.endpoints,
     };
-    let take = |node: &Node, news: News, revision| {
+    let apply = |node: &Node, update: StoreUpdate, revision| {
         let now = clock::now();
-        let changed = match news {
-            News::All(items) => all_endpoints(node, now, &items, revision),
-            News::Changes(changes) | News::PassedOn(changes) => {
-                let changed = changes.iter().filter(|change| endpoint(node, now, change));
+        let changed = match update {
+            StoreUpdate::Snapshot(items) => apply_endpoint_snapshot(node, now, &items, revision),
+            StoreUpdate::Changes(changes) | StoreUpdate::Relayed(changes) => {
+                let changed = changes
+                    .iter()
+                    .filter(|change| apply_endpoint_change(node, now, change));
                 changed.count() > 0
             }
         };
         node.endpoints_told("store", changed);
     };
-    follow_store(node, followed, take).await;
+    follow_store(node, followed, apply).await;
 }
 
 /// Applies a whole reading of the endpoints' entries; true when anything changed. An entry that
 /// names no usable endpoint counts as present and without an endpoint; it affects no other entry.
-fn all_endpoints(node: &Node, now: Duration, items: &[Item], at: Revision) -> bool {
+fn apply_endpoint_snapshot(node: &Node, now: Duration, items: &[Item], at: Revision) -> bool {
     let mut changed = false;
     let mut entries = Vec::new();
     for item in items {
-        match entry(node, item) {
+        match parse_entry(node, item) {
             Some(known) => entries.push(known),
-            None => changed |= unusable(node, now, item),
+            None => changed |= apply_unusable(node, now, item),
         }
     }
     let mut core = node.core.borrow_mut();
@@ -280,7 +288,7 @@
 }
 
 /// Parses an entry; `None` when it names no usable endpoint.
-fn entry(node: &Node, item: &Item) -> Option<KnownEntry> {
+fn parse_entry(node: &Node, item: &Item) -> Option<KnownEntry> {
     let name = entry_name(node, &item.key);
     match (node.dialect.registration)(name, &item.value) {
         Ok(entry) => Some(KnownEntry {
@@ -300,18 +308,18 @@
     key.strip_prefix(node.dialect.keys.endpoints).unwrap_or(key)
 }
 
-fn unusable(node: &Node, now: Duration, item: &Item) -> bool {
+fn apply_unusable(node: &Node, now: Duration, item: &Item) -> bool {
     let id = id::of(entry_name(node, &item.key));
     let mut core = node.core.borrow_mut();
     core.discovery.apply_unusable(now, id, item.revision)
 }
 
 /// Applies one change of an endpoint's entry; true when anything changed.
-fn endpoint(node: &Node, now: Duration, change: &Change) -> bool {
+fn apply_endpoint_change(node: &Node, now: Duration, change: &Change) -> bool {
     match change {
         Change::Written(item) => {
-            let Some(known) = entry(node, item) else {
-                return unusable(node, now, item);
+            let Some(known) = parse_entry(node, item) else {
+                return apply_unusable(node, now, item);
             };
             let mut core = node.core.borrow_mut();
             core.discovery
