--- a/src/serve/ask.rs
+++ b/src/serve/ask.rs
@@ -1,4 +1,4 @@
-//! Questions to other VMs, by TCP.
+//! Requests to other VMs, by TCP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use super::replies::{self, Reply};
 use crate::wire;
 
-/// Why another VM brought no answer.
+/// Why a request to another VM failed.
 #[derive(Debug, Snafu)]
 pub enum AskError {
     #[snafu(display("{source}"), context(false))]
@@ -24,17 +24,17 @@
     Message { source: wire::Error },
     #[snafu(display("{source}"), context(false))]
     Http { source: hyper::Error },
-    #[snafu(display("the path is none: {source}"), context(false))]
+    #[snafu(display("invalid path: {source}"), context(false))]
     Path {
         source: hyper::http::uri::InvalidUri,
     },
     #[snafu(display("answered {status}"))]
     Refused { status: StatusCode },
     #[snafu(display("no answer in time"), context(false))]
-    Late { source: tokio::time::error::Elapsed },
+    TimedOut { source: tokio::time::error::Elapsed },
 }
 
-/// Asks another VM; `body` is sealed, or empty where the path says all.
+/// Sends a request to another VM; `body` is sealed, or empty where the path says all.
 pub async fn ask<T: DeserializeOwned>(
     node: &Node,
     to: SocketAddr,
@@ -42,7 +42,7 @@
     body: Vec<u8>,
     within: Duration,
 ) -> Result<T, AskError> {
-    let exchanged = async {
+    let exchange = async {
         let mut connection = Connection::open(&to.to_string()).await?;
         let mut request = Request::new(Full::new(Bytes::from(body)));
         *request.uri_mut() = path.parse::<Uri>()?;
@@ -53,16 +53,16 @@
         }
         Ok(answer.into_body().collect().await?.to_bytes())
     };
-    let sealed = timeout(within, exchanged).await??;
+    let sealed = timeout(within, exchange).await??;
     Ok(node.key.open(&sealed)?)
 }
 
-/// The answer to such a question.
+/// The answer to a request of another VM.
 pub fn reply(sealed: Result<Vec<u8>, wire::Error>) -> Reply {
     match sealed {
         Ok(sealed) => replies::bytes(sealed.into()),
         Err(error) => {
-            log::error!(error:% = error; "another VM can't be answered");
+            log::error!(error:% = error; "the answer to another VM can't be encoded");
             replies::empty(500)
         }
     }
--- a/src/serve/delegate.rs
+++ b/src/serve/delegate.rs
@@ -1,5 +1,5 @@
-//! A delegate's part in a large fleet: it sums up what the VMs of its failure domain say of themselves, and
-//! tells them and the delegates of the other failure domains.
+//! A delegate's work in a large fleet: it aggregates the heartbeats of the VMs of its failure
+//! domain and sends the summary to them and to the delegates of the other failure domains.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,41 +8,41 @@
 use tokio::time::{sleep, timeout};
 
 use super::node::Node;
-use super::peers::{heartbeat, seal, word, Datagram, COUNTS_ALL};
+use super::peers::{count_report, heartbeat, seal, Datagram, ALL_COUNTS_SEND_INTERVAL};
 use super::quotas;
 use crate::clock;
 use crate::decide::peers::{KnownVersions, Summary, SummaryRound, SUMMARY_INTERVAL};
 use crate::decide::quota::CountSource;
 use crate::id::VmId;
 
-/// Time between two words to VMs whose items are to make way. Without them a burst of online requests stands
-/// behind the items for up to a round.
-const PRESSED_PAUSE: Duration = Duration::from_millis(40);
+/// Time between two prompt summaries to VMs whose items are to be preempted. Without them a burst
+/// of online requests waits behind the items for up to a summary round.
+const PROMPT_SUMMARY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// Speaks while this VM is a delegate, until the process ends.
+/// Sends summaries while this VM is a delegate, until the process ends.
 pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let (mut sequence, mut rounds) = (0, 0);
     let mut round_due = Duration::ZERO;
     let mut counts_due = Duration::ZERO;
     loop {
-        sleep(PRESSED_PAUSE).await;
+        sleep(PROMPT_SUMMARY_INTERVAL).await;
         let left = round_due.saturating_sub(clock::now());
-        let pressed = timeout(left, node.tell_pressed.notified()).await.is_ok();
+        let is_prompt = timeout(left, node.tell_pressed.notified()).await.is_ok();
         if !node.core.borrow().peers.is_delegate(node.vm) {
             sleep(SUMMARY_INTERVAL).await;
             continue;
         }
         sequence += 1;
         let all_counts = clock::now() >= counts_due;
-        let round = round(&node, sequence, all_counts);
-        if pressed && clock::now() < round_due {
-            tell_members(&node, &socket, &round, |vm| round.has_excess_items(vm));
+        let round = build_round(&node, sequence, all_counts);
+        if is_prompt && clock::now() < round_due {
+            send_to_domain(&node, &socket, &round, |vm| round.has_excess_items(vm));
             continue;
         }
         round_due = clock::now() + SUMMARY_INTERVAL;
         rounds += 1;
         if all_counts && node.core.borrow().peers.is_remote_round(rounds) {
-            counts_due = clock::now() + COUNTS_ALL;
+            counts_due = clock::now() + ALL_COUNTS_SEND_INTERVAL;
         }
         if node
             .core
@@ -50,16 +50,16 @@
             .peers
             .is_domain_round(rounds, node.domain)
         {
-            tell_members(&node, &socket, &round, |_| true);
+            send_to_domain(&node, &socket, &round, |_| true);
         }
         if node.core.borrow().peers.is_remote_round(rounds) || is_crowded(&node) {
-            tell_delegates(&node, &socket, &round);
+            send_to_delegates(&node, &socket, &round);
         }
     }
 }
 
-/// Whether an endpoint has more than it runs: other failure domains are about to look for free slots, and old counts
-/// would send them where none are left.
+/// Whether an endpoint has more requests than it runs: other failure domains are about to look for
+/// free slots, and old counts would send them where none are left.
 fn is_crowded(node: &Node) -> bool {
     let now = clock::now();
     let core = node.core.borrow();
@@ -68,7 +68,7 @@
     meshed && rows.any(|row| row.may_queue(now))
 }
 
-fn round(node: &Node, sequence: u64, all_counts: bool) -> SummaryRound {
+fn build_round(node: &Node, sequence: u64, all_counts: bool) -> SummaryRound {
     let now = clock::now();
     let own = heartbeat(node, sequence);
     let core = node.core.borrow();
@@ -86,8 +86,8 @@
         .summary_round(now, &own, address, &core.usage, counts, endpoints)
 }
 
-/// Tells the VMs of the failure domain that fit.
-fn tell_members(
+/// Sends a summary to the VMs of the failure domain that fit.
+fn send_to_domain(
     node: &Node,
     socket: &UdpSocket,
     round: &SummaryRound,
@@ -97,38 +97,38 @@
     for (vm, to) in members.into_iter().filter(|(vm, _)| fits(*vm)) {
         for summary in round.for_member(vm) {
             if let Some(sealed) = seal(node, &Datagram::Summary(summary)) {
-                // A datagram that can't be sent is a datagram lost: the next round says it again.
+                // A lost datagram is made good by the next round.
                 let _ = socket.try_send_to(&sealed, to);
             }
         }
     }
 }
 
-/// Tells the delegates of the other failure domains.
-fn tell_delegates(node: &Node, socket: &UdpSocket, round: &SummaryRound) {
+/// Sends a summary to the delegates of the other failure domains.
+fn send_to_delegates(node: &Node, socket: &UdpSocket, round: &SummaryRound) {
     let targets = node.core.borrow().peers.remote_delegate_addresses();
     for summary in round.for_delegates() {
         let Some(sealed) = seal(node, &Datagram::Summary(summary)) else {
             continue;
         };
         for to in &targets {
-            // As above.
+            // A lost datagram is made good by the next round.
             let _ = socket.try_send_to(&sealed, *to);
         }
     }
 }
 
-/// Passes a summary of another failure domain on as it came.
-fn pass_on(node: &Node, socket: &UdpSocket, sealed: &[u8]) {
+/// Forwards a summary of another failure domain unchanged to the VMs of this one.
+fn forward(node: &Node, socket: &UdpSocket, sealed: &[u8]) {
     let members = node.core.borrow().peers.domain_peers(node.domain);
     for (_, to) in members {
-        // A datagram that can't be sent is a datagram lost: the next summary says it again.
+        // A lost datagram is made good by the next summary.
         let _ = socket.try_send_to(sealed, to);
     }
 }
 
-/// Takes a delegate's word.
-pub fn heard(node: &Node, socket: &UdpSocket, summary: Summary, sealed: &[u8]) {
+/// Applies a delegate's summary.
+pub fn apply_summary(node: &Node, socket: &UdpSocket, summary: Summary, sealed: &[u8]) {
     if summary.by == node.vm {
         return;
     }
@@ -143,25 +143,25 @@
         endpoints: summary.endpoints,
     };
     core.take_proofs(now, summary.proofs, theirs);
-    let near = summary.domain == node.domain;
-    if near && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
-        // It has heard the VMs themselves.
+    let is_local = summary.domain == node.domain;
+    if is_local && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
+        // This VM has received the heartbeats of the VMs themselves.
         return;
     }
     if summary.part == 0 {
         let source = CountSource::Domain(summary.domain);
-        // Towards the own failure domain this VM itself is left out.
-        let vms = summary.vms - u32::from(near);
-        let told = word(vms, false, &summary.counts);
-        core.quotas.apply_report(now, source, told);
+        // A summary of the local failure domain counts this VM too; it is left out here.
+        let vms = summary.vms - u32::from(is_local);
+        let report = count_report(vms, false, &summary.counts);
+        core.quotas.apply_report(now, source, report);
     }
-    let passes_on = !near && core.peers.forwards_summary(node.vm, &summary);
+    let forwards = !is_local && core.peers.forwards_summary(node.vm, &summary);
     let part = (summary.part, summary.parts);
     let touched = core
         .usage
         .apply_group_part(now, summary.domain, part, summary.rows);
     let mut yields = false;
-    if near && summary.part == 0 {
+    if is_local && summary.part == 0 {
         yields = !summary.keeps.is_empty();
         core.usage.set_item_allowance(now, summary.keeps);
     }
@@ -170,8 +170,8 @@
         .items
         .note_uses_at(now, endpoints, &core.usage, &touched);
     drop(guard);
-    if passes_on {
-        pass_on(node, socket, sealed);
+    if forwards {
+        forward(node, socket, sealed);
     }
     if yields {
         node.plan_items.notify_one();
--- a/src/serve/jobs.rs
+++ b/src/serve/jobs.rs
@@ -1,4 +1,4 @@
-//! The callers' calls on batch jobs, and the writes of jobs' records.
+//! Callers' requests on batch jobs, and the writes of job records.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,24 +23,24 @@
 use crate::store::{Settled, Txn, Write};
 use crate::util;
 
-/// How long a submission or an end may take to be settled at the store; callers wait 4 s at most.
-const SETTLE_MAX: Duration = Duration::from_millis(2500);
-/// When to come back after the store could not be reached; outages last for seconds.
-pub(super) const STORE_AWAY_RETRY: Duration = Duration::from_millis(900);
-/// Path under which another VM tells that it has ended a job; the job follows.
+/// Time in which the store has to settle a submission or a cancellation; callers wait 4 s at most.
+const COMMIT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// `Retry-After` when the store could not be reached; outages last for seconds.
+pub(super) const STORE_RETRY_AFTER: Duration = Duration::from_millis(900);
+/// Path under which another VM reports that it has cancelled a job; the job follows.
 pub const ENDED_PATH: &str = "/ended/";
-/// Time for that; whoever ended the job waits for it.
-const TELL_MAX: Duration = Duration::from_millis(400);
-/// Tries to end a job against other writers of its record.
-const CANCEL_TRIES: usize = 5;
+/// Timeout of that report; the caller that cancelled the job waits for it.
+const ENDED_REPORT_TIMEOUT: Duration = Duration::from_millis(400);
+/// Attempts to cancel a job against concurrent writers of its record.
+const CANCEL_ATTEMPTS_MAX: usize = 5;
 
-/// Encodes what is written to the store.
+/// Encodes a value for the store.
 pub fn encode(value: &impl serde::Serialize) -> Bytes {
-    // Plain structs with string keys: there is nothing that JSON can't hold.
+    // Plain structs with string keys always serialize to JSON.
     Bytes::from(serde_json::to_vec(value).unwrap_or_default())
 }
 
-/// Takes a submitted job.
+/// Accepts a submitted job.
 pub async fn submit(
     node: Rc<Node>,
     route: &Route,
@@ -52,19 +52,19 @@
         return replies::refusal(RefusalKind::BadRequest, true, None);
     };
     let id: JobId = id.into();
-    let standing = node.core.borrow().jobs.standing(&id);
-    if let Some((record, _)) = standing {
+    let existing = node.core.borrow().jobs.current(&id);
+    if let Some((record, _)) = existing {
         return accepted_before(&record, &caller);
     }
     let items = match (node.dialect.submission)(&body) {
         Ok(items) => items,
         Err(error) => {
-            log::info!(job = *id, error; "job can't be read");
+            log::info!(job = *id, error; "job refused: the submission can't be read");
             return replies::refusal(RefusalKind::BadRequest, true, None);
         }
     };
     if let Some(item) = small_jobs::named_twice(&items) {
-        log::info!(job = *id, item = **item; "job refused: an item is named twice");
+        log::info!(job = *id, item = **item; "job refused: duplicate item id");
         return replies::refusal(RefusalKind::BadRequest, true, None);
     }
     let parts = match small_jobs::body_parts(&items) {
@@ -73,7 +73,7 @@
     };
     let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &parts);
     record.workspace = caller;
-    // A task of its own: a caller that leaves must not keep the write from being settled.
+    // A task of its own: a caller that disconnects must not stop the write from being settled.
     let accepted = accept(node.clone(), route.clone(), record, parts);
     let settled = tokio::task::spawn_local(accepted).await;
     settled.unwrap_or_else(|_| replies::refusal(RefusalKind::PlatformAway, false, None))
@@ -99,7 +99,7 @@
         host: host.into(),
         route: route.name.clone(),
         workspace: None,
-        // A VM that drains accepts for the others.
+        // A VM that drains accepts jobs for others to claim.
         owner: if node.is_draining() { 0 } else { node.owner },
         epoch: 1,
         created_ms,
@@ -116,7 +116,7 @@
     }
 }
 
-/// Writes record and items in one transaction, and answers by how that ended.
+/// Writes record and items in one transaction, and answers by its outcome.
 async fn accept(node: Rc<Node>, route: Route, record: Record, parts: Vec<Vec<Item>>) -> Reply {
     let id = record.id.clone();
     if let Err(reply) = admit::admit(&node, &route, &record).await {
@@ -125,7 +125,7 @@
     let part = |(number, part)| write(body_key(&id, number as u32), encode(part));
     let writes = parts.iter().enumerate().map(part).collect();
     let started = clock::now();
-    let settled = replace_with(&node, &record, 0, writes).await;
+    let settled = replace_record_with_parts(&node, &record, 0, writes).await;
     admit::settled(&node, &id, &settled);
     let took_ms = clock::now().saturating_sub(started).as_millis() as u64;
     let items = record.items.len();
@@ -138,13 +138,13 @@
             runs::adopt(&node, &id);
             replies::empty(202)
         }
-        Settled::Lost(_) => match node.core.borrow().jobs.standing(&id) {
-            Some((standing, _)) => accepted_before(&standing, &record.workspace),
+        Settled::Lost(_) => match node.core.borrow().jobs.current(&id) {
+            Some((existing, _)) => accepted_before(&existing, &record.workspace),
             None => replies::empty(202),
         },
         Settled::Away(detail) => {
             log::warn!(job = *id, took_ms, detail; "job refused: the store is away");
-            replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+            replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
         }
         Settled::Unknown(detail) => {
             log::warn!(job = *id, took_ms, detail; "job in doubt: the store's answer was lost");
@@ -153,10 +153,11 @@
     }
 }
 
-/// The answer to a job that stands already. An id belongs to the workspace that took it first.
-pub(super) fn accepted_before(standing: &Record, caller: &Option<Name>) -> Reply {
-    let same = standing.workspace == *caller;
-    log::info!(job = *standing.id, same_workspace = same; "job had been accepted before");
+/// The answer to a submission whose job exists already. An id belongs to the workspace that
+/// submitted it first.
+pub(super) fn accepted_before(existing: &Record, caller: &Option<Name>) -> Reply {
+    let same = existing.workspace == *caller;
+    log::info!(job = *existing.id, same_workspace = same; "job already accepted");
     match same {
         true => replies::empty(202),
         false => replies::refusal(RefusalKind::Conflict, true, None),
@@ -172,17 +173,17 @@
     }
 }
 
-/// The job's record from the table, else from the store, else what to answer instead.
+/// The job's record from the table, else from the store, else the refusal to answer with.
 pub(super) async fn find(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
-    let known = node.core.borrow().jobs.standing(job);
+    let known = node.core.borrow().jobs.current(job);
     match known {
         Some((record, _)) => Ok(record),
         None => reread(node, job).await,
     }
 }
 
-/// Like [`find`], for a caller: jobs of other workspaces don't exist for it.
-pub(super) async fn find_for(
+/// Like [`find`], for a caller: jobs of other workspaces are not found.
+pub(super) async fn find_for_caller(
     node: &Rc<Node>,
     caller: &Option<Name>,
     job: &JobId,
@@ -198,46 +199,47 @@
     Err(replies::refusal(RefusalKind::NotFound, true, None))
 }
 
-/// The job's record from the store, else what to answer instead: 404 only on the store's word.
+/// The job's record from the store, else the refusal to answer with: 404 only when the store has no
+/// such record.
 pub(super) async fn reread(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
     let key = record_key(job);
     let item = match node.store.get(&key).await {
         Ok(Some(item)) => item,
         Ok(None) => return Err(replies::refusal(RefusalKind::NotFound, true, None)),
-        Err(error) => return Err(away(job, &error.to_string())),
+        Err(error) => return Err(store_unavailable(job, &error.to_string())),
     };
     let Some(record) = decode(&key, &item.value) else {
-        return Err(away(job, "a record that can't be read"));
+        return Err(store_unavailable(job, "the record is invalid"));
     };
     let mut core = node.core.borrow_mut();
     let now = clock::now();
     core.take_job(now, now, record, item.revision);
-    let standing = core.jobs.standing(job);
-    standing
+    let existing = core.jobs.current(job);
+    existing
         .map(|(record, _)| record)
         .ok_or_else(|| replies::refusal(RefusalKind::NotFound, true, None))
 }
 
-fn away(job: &str, detail: &str) -> Reply {
+fn store_unavailable(job: &str, detail: &str) -> Reply {
     log::warn!(job, error = detail; "job can't be read: the store is away");
-    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
 }
 
 /// Answers with the body of an item.
 pub async fn item_body(node: Rc<Node>, caller: &Option<Name>, job: JobId, item: Name) -> Reply {
-    let record = match find_for(&node, caller, &job).await {
+    let record = match find_for_caller(&node, caller, &job).await {
         Ok(record) => record,
         Err(reply) => return reply,
     };
     let index = record.items.iter().position(|known| *known == item);
-    let place = index.and_then(|index| record.body_place(index as u32));
-    let Some((part, place)) = place.filter(|_| !record.cancelled) else {
+    let position = index.and_then(|index| record.body_place(index as u32));
+    let Some((part, position)) = position.filter(|_| !record.cancelled) else {
         return replies::refusal(RefusalKind::NotFound, true, None);
     };
     let read = parts::read::<Vec<Item>>(&node, body_key(&job, part), record.owner).await;
     let body = match &read {
         Ok(items) => items
-            .get(place)
+            .get(position)
             .map(|item| BASE64_STANDARD.decode(&item.body)),
         Err(error) => {
             log::warn!(job = *job, error:% = error; "an item's body can't be read");
@@ -246,53 +248,55 @@
     };
     match body {
         Some(Ok(body)) => replies::bytes(body.into()),
-        _ => replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY)),
+        _ => replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER)),
     }
 }
 
-/// Ends a job.
+/// Cancels a job.
 pub async fn cancel(node: Rc<Node>, caller: &Option<Name>, job: JobId) -> Reply {
-    for _ in 0..CANCEL_TRIES {
-        let record = match find_for(&node, caller, &job).await {
+    for _ in 0..CANCEL_ATTEMPTS_MAX {
+        let record = match find_for_caller(&node, caller, &job).await {
             Ok(record) => record,
             Err(reply) => return reply,
         };
         let Some(ended) = record.cancel(util::nonce()) else {
             return replies::empty(200);
         };
-        let standing = node.core.borrow().jobs.standing(&job);
-        let revision = standing.map_or(0, |(_, revision)| revision);
-        match replace(&node, &ended, revision).await {
+        let existing = node.core.borrow().jobs.current(&job);
+        let revision = existing.map_or(0, |(_, revision)| revision);
+        match replace_record(&node, &ended, revision).await {
             Settled::Won(_) => {
-                log::info!(job = *job, listed = ended.listed.len(); "job ended by its caller");
+                log::info!(job = *job, listed = ended.listed.len(); "job cancelled by its caller");
                 runs::forget(&node, &job);
-                tell_owner(&node, &record).await;
+                report_to_owner(&node, &record).await;
                 return replies::empty(200);
             }
             // Another writer came first; its record is in the table now.
             Settled::Lost(_) => {}
-            Settled::Away(detail) | Settled::Unknown(detail) => return away(&job, &detail),
+            Settled::Away(detail) | Settled::Unknown(detail) => {
+                return store_unavailable(&job, &detail)
+            }
         }
     }
-    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_AWAY_RETRY))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
 }
 
-/// Tells the process that runs a job that the job was ended here.
+/// Reports to the process that runs a job that the job was cancelled here.
 ///
-/// The failure: the owner hears of it from the store by way of its delegate; that one is frozen, its connection is
-/// open, and the items run on for 2.6 s more, which nobody wants any more.
-async fn tell_owner(node: &Node, record: &Record) {
-    let Some(owner) = peers::owner_elsewhere(node, record.owner) else {
+/// Without this, the owner learns of it from the store by way of its delegate; while that delegate
+/// is frozen with its connection open, the cancelled job's items run on for 2.6 s more.
+async fn report_to_owner(node: &Node, record: &Record) {
+    let Some(owner) = peers::remote_owner(node, record.owner) else {
         return;
     };
     let path = format!("{ENDED_PATH}{}", record.id);
-    if let Err(error) = ask::<()>(node, owner, &path, Vec::new(), TELL_MAX).await {
-        // Its own watch, or its delegate's, tells it a little later.
+    if let Err(error) = ask::<()>(node, owner, &path, Vec::new(), ENDED_REPORT_TIMEOUT).await {
+        // Its own watch, or its delegate's, brings the change a little later.
         log::info!(job = *record.id, owner:% = owner, error:% = error; "the owner of an ended job was not told");
     }
 }
 
-/// Takes another VM's word that a job has ended, and what the store has on it.
+/// Receives another VM's report that a job was cancelled, and checks it against the store.
 pub async fn told_ended(node: &Rc<Node>, path: &str) -> Reply {
     let job: JobId = path.strip_prefix(ENDED_PATH).unwrap_or_default().into();
     if !node.core.borrow().jobs.rows.contains_key(&job) {
@@ -305,13 +309,14 @@
     reply(node.key.seal(&()))
 }
 
-/// Writes a record in the place of the one at `revision`, and keeps whichever stands then.
-pub async fn replace(node: &Rc<Node>, record: &Record, revision: Revision) -> Settled {
-    replace_with(node, record, revision, Vec::new()).await
+/// Replaces a job's record if it still is at `revision`, and takes the record that stands
+/// afterwards into the table.
+pub async fn replace_record(node: &Rc<Node>, record: &Record, revision: Revision) -> Settled {
+    replace_record_with_parts(node, record, revision, Vec::new()).await
 }
 
-/// Like [`replace`], with parts in the same transaction, which are kept in memory once they stand.
-pub async fn replace_with(
+/// Like [`replace_record`], with parts in the same transaction, which are cached once they are written.
+pub async fn replace_record_with_parts(
     node: &Rc<Node>,
     record: &Record,
     revision: Revision,
@@ -325,14 +330,14 @@
         writes,
         deletes: Vec::new(),
     };
-    let settled = node.store.commit(txn, SETTLE_MAX).await;
+    let settled = node.store.commit(txn, COMMIT_TIMEOUT).await;
     let now = clock::now();
     let mut core = node.core.borrow_mut();
     match &settled {
         Settled::Won(revision) => {
             core.take_job(now, now, record.clone(), *revision);
             for part in parts {
-                core.jobs.parts.keep(part.key, part.value);
+                core.jobs.parts.insert(part.key, part.value);
             }
             node.tell_peers.notify_one();
         }
--- a/src/serve/parts.rs
+++ b/src/serve/parts.rs
@@ -1,4 +1,4 @@
-//! Write-once parts of batch jobs, kept in memory after they were read or written.
+//! Write-once parts of batch jobs, cached in memory after they were read or written.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -11,28 +11,28 @@
 use crate::id::OwnerId;
 use crate::store::Error;
 
-/// Bytes of parts that one process keeps. Jobs of one minute at the present load take a quarter of
-/// it, and what has been dropped is read again from the store.
-const BYTES_MAX: usize = 16 * 1024 * 1024;
+/// Bytes of cached parts in one process. Jobs of one minute at the present load take a quarter of
+/// it; dropped parts are read again from the store.
+const CACHE_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// Parts by key, the oldest dropped first.
 #[derive(Debug, Default)]
-pub struct Parts {
+pub struct PartCache {
     rows: HashMap<String, Bytes>,
     order: VecDeque<String>,
     bytes: usize,
 }
 
-impl Parts {
-    /// Keeps a part.
-    pub fn keep(&mut self, key: String, value: Bytes) {
+impl PartCache {
+    /// Caches a part.
+    pub fn insert(&mut self, key: String, value: Bytes) {
         if self.rows.contains_key(&key) {
             return;
         }
         self.bytes += value.len();
         self.rows.insert(key.clone(), value);
         self.order.push_back(key);
-        while self.bytes > BYTES_MAX {
+        while self.bytes > CACHE_BYTES_MAX {
             let Some(oldest) = self.order.pop_front() else {
                 return;
             };
@@ -40,13 +40,13 @@
         }
     }
 
-    /// A part that is kept here.
+    /// A cached part.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.rows.get(key).cloned()
     }
 }
 
-/// Why a part could not be had.
+/// Why a part could not be read.
 #[derive(Debug, snafu::Snafu)]
 pub enum PartError {
     #[snafu(display("{source}"), context(false))]
@@ -54,7 +54,7 @@
     #[snafu(display("part {key} is missing"))]
     Missing { key: String },
     #[snafu(display("part {key} can't be read: {source}"))]
-    Broken {
+    Invalid {
         key: String,
         source: serde_json::Error,
     },
@@ -63,30 +63,30 @@
 /// Reads a part: from memory, else from the job's owner, which has just written it, else from the
 /// store.
 ///
-/// A part is written once, so whoever has it has all of it. The store counts every call: asking the
+/// A part is written once, so every copy is complete. The store charges every call: asking the
 /// owner saved a quarter of all calls on a day with 39 jobs and nine VMs.
 pub async fn read<T: DeserializeOwned>(
     node: &Rc<Node>,
     key: String,
     owner: OwnerId,
 ) -> Result<T, PartError> {
-    let kept = node.core.borrow().jobs.parts.get(&key);
-    let value = match kept {
+    let cached = node.core.borrow().jobs.parts.get(&key);
+    let value = match cached {
         Some(value) => value,
         None => {
-            let value = match peers::ask_part(node, owner, &key).await {
+            let value = match peers::fetch_part(node, owner, &key).await {
                 Some(value) => value,
-                None => from_store(node, &key).await?,
+                None => read_from_store(node, &key).await?,
             };
             let mut core = node.core.borrow_mut();
-            core.jobs.parts.keep(key.clone(), value.clone());
+            core.jobs.parts.insert(key.clone(), value.clone());
             value
         }
     };
-    serde_json::from_slice(&value).map_err(|source| PartError::Broken { key, source })
+    serde_json::from_slice(&value).map_err(|source| PartError::Invalid { key, source })
 }
 
-async fn from_store(node: &Rc<Node>, key: &str) -> Result<Bytes, PartError> {
+async fn read_from_store(node: &Rc<Node>, key: &str) -> Result<Bytes, PartError> {
     match node.store.get(key).await? {
         Some(item) => Ok(item.value),
         None => MissingSnafu { key }.fail(),
--- a/src/serve/relay.rs
+++ b/src/serve/relay.rs
@@ -1,8 +1,9 @@
 //! Calls on the metadata store by way of another VM.
 //!
-//! The failure: the store turns this VM away, or the way to it is cut, while it serves the others. Jobs
-//! that callers submit here are refused although they could be kept, its registration lapses, and its
-//! jobs are taken over and run again. Another VM that reaches the store makes the call instead.
+//! Without this, when the store refuses this VM or the network to it is cut while it serves the
+//! other VMs, jobs that callers submit here are refused although they could be stored, this VM's
+//! registration lapses, and its jobs are taken over and run again. Another VM that reaches the
+//! store makes the call instead.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,23 +19,23 @@
 
 /// Path under which another VM is asked to make a call.
 pub const PATH: &str = "/store";
-/// Time for the other VM's own call and the way there and back.
-const TIMEOUT: Duration = Duration::from_millis(1500);
-/// What a call brings.
-type Outcome = Result<store::Reply, Error>;
+/// Time for the other VM's own call and the round trip.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(1500);
+/// Result of a call.
+type CallOutcome = Result<store::Reply, Error>;
 
 /// Largest call: a transaction with the parts of a job.
 const CALL_BYTES_MAX: usize = 16 * 1024 * 1024;
 
-/// A store that asks another VM when `own` doesn't answer.
-pub fn relayed(own: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
+/// A store that makes its calls by way of another VM when `local_store` doesn't answer.
+pub fn relayed(local_store: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
     let node = Rc::new(node);
     Store::new(move |call| {
-        let (own, node) = (own.clone(), node.clone());
+        let (local_store, node) = (local_store.clone(), node.clone());
         Box::pin(async move {
-            let first = own.call(call.clone()).await;
+            let first = local_store.call(call.clone()).await;
             let failed = matches!(first, Err(Error::Away { .. } | Error::Unknown { .. }));
-            match node().filter(|_| failed && may_be_relayed(&call)) {
+            match node().filter(|_| failed && is_relayable(&call)) {
                 Some(node) => relay(&node, call, first).await,
                 None => first,
             }
@@ -42,39 +43,40 @@
     })
 }
 
-/// Watches and full readings are not: what they would tell comes with the other VMs' heartbeats.
-fn may_be_relayed(call: &Call) -> bool {
+/// Watches and full reads are not relayed: their changes come from the other VMs anyway.
+fn is_relayable(call: &Call) -> bool {
     !matches!(call, Call::Range { .. } | Call::Watch { .. })
 }
 
-/// Asks another VM. A transaction that may have taken effect can be sent once more: its condition
-/// holds for one of the two at most, and whoever settles it reads back.
-async fn relay(node: &Node, call: Call, first: Outcome) -> Outcome {
+/// Asks another VM to make the call. A transaction that may have taken effect can be sent once
+/// more: its condition holds for at most one of the two, and the code that settles it reads the key
+/// back.
+async fn relay(node: &Node, call: Call, first: CallOutcome) -> CallOutcome {
     let to = node.core.borrow().peers.peer_with_store(clock::now());
     let Some(to) = to else {
         return first;
     };
-    let kind: &'static str = (&call).into();
-    let asked = match node.key.seal(&call) {
-        Ok(sealed) => ask::<Outcome>(node, to, PATH, sealed, TIMEOUT).await,
+    let call_name: &'static str = (&call).into();
+    let outcome = match node.key.seal(&call) {
+        Ok(sealed) => ask::<CallOutcome>(node, to, PATH, sealed, RELAY_TIMEOUT).await,
         Err(error) => Err(error.into()),
     };
-    match asked {
-        // What the first try left in doubt stays in doubt.
+    match outcome {
+        // What the first attempt left in doubt stays in doubt.
         Ok(Err(Error::Away { .. })) => first,
         Ok(reply) => {
-            log::info!(call = kind, by:% = to; "store call made by another VM");
+            log::info!(call = call_name, by:% = to; "store call made by another VM");
             reply
         }
         Err(error) => {
             let detail = format!("{to} did not make the call: {error}");
-            log::info!(call = kind, detail; "store call not made by another VM");
+            log::info!(call = call_name, detail; "store call not made by another VM");
             Err(Error::Unknown { detail })
         }
     }
 }
 
-/// Makes a call for another VM, by the own way only.
+/// Makes a call for another VM, directly and never by way of a third one.
 pub async fn answer(node: &Node, body: Incoming) -> Reply {
     let Ok(body) = Limited::new(body, CALL_BYTES_MAX).collect().await else {
         return replies::empty(400);
@@ -86,6 +88,6 @@
             return replies::empty(400);
         }
     };
-    let outcome: Outcome = node.own_store.call(call).await;
+    let outcome: CallOutcome = node.own_store.call(call).await;
     reply(node.key.seal(&outcome))
 }
--- a/src/serve/runs.rs
+++ b/src/serve/runs.rs
@@ -1,4 +1,4 @@
-//! Batch items on their way: claims, runs at endpoints, listing of results, handing over.
+//! Batch items in progress: claims of jobs, runs at endpoints, listing of results, handover.
 
 pub mod claims;
 pub mod item;
@@ -15,7 +15,7 @@
 use tokio::time::timeout;
 
 pub use self::claims::adopt;
-use self::claims::{consider_claim, forget_old, remove_old};
+use self::claims::{claim_if_orphaned, forget_expired, remove_expired};
 use self::item::start;
 use self::listing::write_results;
 use super::admit;
@@ -27,47 +27,47 @@
 use crate::decide::small_jobs::{Finished, Item, ItemIndex, Outcome, Record};
 use crate::id::{self, ConfigVersion, Epoch, JobId, ServiceId};
 
-/// Time between two looks at everything that has to do with jobs.
-const LOOK: Duration = Duration::from_millis(100);
+/// Time between two checks of all jobs.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Time between two plans while nothing happens.
-const PLAN: Duration = Duration::from_millis(50);
-/// Pause after a write that did not get through.
-const WRITE_PAUSE: Duration = Duration::from_millis(400);
-/// An item is given up only so long after its retention has passed: this process may have heard
-/// of the job late, but never early.
+const PLAN_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause after a write to the store that failed.
+const WRITE_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// An item is given up only this long after its retention has passed: this process may have
+/// received the job late, but never early.
 const RETENTION_MARGIN: Duration = Duration::from_secs(2);
 
-/// What one item has so far.
+/// Progress of one open item.
 #[derive(Debug, Default, Clone)]
-struct Progress {
+struct ItemProgress {
     texts: Vec<String>,
     last_event: Option<u64>,
     failures: u32,
-    /// The run under way.
-    run: Option<Run>,
+    /// The current run.
+    run: Option<ItemRun>,
 }
 
-/// A run under way.
+/// The current run of an item.
 #[derive(Debug, Clone)]
-struct Run {
-    /// Ends it at once, whatever has arrived.
+struct ItemRun {
+    /// Ends the run at once, whatever has arrived.
     abort: AbortHandle,
-    /// Takes it back.
+    /// Asks the run to stop; the item then waits again with its progress.
     stop: Rc<Notify>,
 }
 
 /// One job whose items run here.
-struct Owned {
+struct OwnedJob {
     epoch: Epoch,
     items: Rc<Vec<Item>>,
-    progress: HashMap<ItemIndex, Progress>,
+    progress: HashMap<ItemIndex, ItemProgress>,
     finished: Vec<Finished>,
-    /// Failure counts that are not written yet.
-    uncounted: bool,
+    /// Failure counts have changed since the record was last written.
+    failures_unwritten: bool,
     finished_at: Option<Duration>,
     writing: bool,
-    /// When the text of its items was last kept in the store.
-    kept_at: Duration,
+    /// When the progress of its items was last saved in the store.
+    saved_at: Duration,
     write_after: Duration,
     due: Duration,
 }
@@ -75,23 +75,27 @@
 /// All jobs whose items run here.
 #[derive(Default)]
 pub struct Runs {
-    owned: RefCell<HashMap<JobId, Owned>>,
+    owned: RefCell<HashMap<JobId, OwnedJob>>,
     loading: RefCell<HashSet<JobId>>,
     /// Jobs without a living owner, and since when.
     orphans: RefCell<HashMap<JobId, Duration>>,
-    /// Rules by which the items' services were last found.
-    assigned_by: Cell<ConfigVersion>,
+    /// Version of the configuration by which the items' services were last assigned.
+    assigned_version: Cell<ConfigVersion>,
 }
 
 impl Runs {
-    /// Does something with what an item has so far; `None` when it is not run here.
-    fn with_progress<T>(&self, key: &ItemKey, act: impl FnOnce(&mut Progress) -> T) -> Option<T> {
+    /// Calls `act` with an item's progress; `None` when the item does not run here.
+    fn with_progress<T>(
+        &self,
+        key: &ItemKey,
+        act: impl FnOnce(&mut ItemProgress) -> T,
+    ) -> Option<T> {
         let mut owned = self.owned.borrow_mut();
         let progress = owned.get_mut(&key.job)?.progress.get_mut(&key.item)?;
         Some(act(progress))
     }
 
-    /// Ends the run of an item. Its connection is dropped, which tells the endpoint to stop.
+    /// Aborts the run of an item. Its connection is dropped, which makes the endpoint stop.
     fn abort(&self, key: &ItemKey) {
         let run = self.with_progress(key, |progress| progress.run.take());
         if let Some(run) = run.flatten() {
@@ -100,7 +104,7 @@
     }
 }
 
-/// Stops all that runs of a job, and forgets it.
+/// Aborts all runs of a job, and forgets the job.
 pub fn forget(node: &Node, job: &JobId) {
     let Some(owned) = node.runs.owned.borrow_mut().remove(job) else {
         return;
@@ -117,7 +121,7 @@
     }
 }
 
-/// Finds each item's service by the routes in force; an item without a route is given up.
+/// Assigns each item a service by the routes in force; an item without a route is given up.
 fn assign_services(node: &Node) {
     let Some(routes) = node.routes() else {
         return;
@@ -137,53 +141,53 @@
             continue;
         };
         match routes.find(&record.host, &item.path) {
-            Some(route) => core.items.moved(&key, pick(route, &item.id)),
+            Some(route) => core.items.moved(&key, pick_service(route, &item.id)),
             None => given_up.push(key),
         }
     }
     drop((guard, owned));
     for key in given_up {
-        log::info!(job = *key.job, item = key.item; "item given up: no route leads anywhere");
+        log::info!(job = *key.job, item = key.item; "item given up: no route matches");
         finish(node, &key, Outcome::Errored);
     }
 }
 
-/// The same service for an item at every look, in proportion to the weights.
-fn pick(route: &Route, item: &str) -> ServiceId {
+/// Picks a service in proportion to the weights, always the same one for an item.
+fn pick_service(route: &Route, item: &str) -> ServiceId {
     let draw = id::of(item) as f64 / u64::MAX as f64;
     route.pick(draw.min(0.999_999))
 }
 
-/// Runs everything that has to do with batch items until the process ends.
+/// Plans, checks and lists batch items until the process ends.
 pub async fn run(node: Rc<Node>) {
-    let mut looked_at = Duration::ZERO;
+    let mut checked_at = Duration::ZERO;
     loop {
-        // Time out is as good as a wake-up.
-        let _ = timeout(PLAN, node.plan_items.notified()).await;
+        // After a timeout the loop goes on as after a wake-up.
+        let _ = timeout(PLAN_INTERVAL, node.plan_items.notified()).await;
         let now = clock::now();
-        if now >= looked_at + LOOK {
-            looked_at = now;
-            look(&node, now);
+        if now >= checked_at + CHECK_INTERVAL {
+            checked_at = now;
+            check_jobs(&node, now);
             admit::look(&node, now);
         }
         plan(&node, now);
     }
 }
 
-/// Places items and takes them back.
+/// Starts items at endpoints and stops those that are preempted.
 fn plan(node: &Rc<Node>, now: Duration) {
     let actions = {
         let mut guard = node.core.borrow_mut();
         let core = &mut *guard;
         note_uses(core);
-        let own = ItemPlanner {
+        let planner = ItemPlanner {
             vm: node.vm,
             domain: node.domain,
             rivals: &core.peers.competing_vms(now, node.domain, node.vm),
             starting: core.stage == Stage::Serving,
         };
         let endpoints = &core.online.endpoints;
-        core.items.plan(now, &own, endpoints, &core.usage)
+        core.items.plan(now, &planner, endpoints, &core.usage)
     };
     if actions.is_empty() {
         return;
@@ -197,18 +201,18 @@
     node.tell_peers.notify_one();
 }
 
-/// Takes a run back; it ends within a few turns of the event loop, and the item waits again.
+/// Stops a run; it ends within a few iterations of the event loop, and the item waits again.
 fn stop(node: &Node, key: &ItemKey) {
-    let stop = |progress: &mut Progress| progress.run.as_ref().map(|run| run.stop.clone());
+    let stop = |progress: &mut ItemProgress| progress.run.as_ref().map(|run| run.stop.clone());
     if let Some(stop) = node.runs.with_progress(key, stop).flatten() {
         stop.notify_one();
     }
 }
 
-/// Takes all runs back at a planned stop, so that their jobs can be handed over.
+/// Stops all runs at a planned stop, so that their jobs can be handed over.
 ///
-/// The failure: a job waits at a VM that stops until the last of its items has run, and those that have
-/// not started wait with it.
+/// Without this, a job stays at a VM that stops until the last of its running items is done, and
+/// its items that have not started wait with it.
 fn stop_all(node: &Node) {
     let owned = node.runs.owned.borrow();
     let progress = owned.values().flat_map(|job| job.progress.values());
@@ -216,7 +220,7 @@
     runs.for_each(|run| run.stop.notify_one());
 }
 
-/// An item has its result; it waits for the next write.
+/// Records an item's result, which waits for the next write.
 fn finish(node: &Node, key: &ItemKey, outcome: Outcome) {
     node.core.borrow_mut().items.remove(key);
     let mut owned = node.runs.owned.borrow_mut();
@@ -238,8 +242,8 @@
     job.finished_at.get_or_insert(clock::now());
 }
 
-/// Looks after all jobs: adopts, claims, lists, hands over, forgets.
-fn look(node: &Rc<Node>, now: Duration) {
+/// Checks all jobs: adopts, claims, lists, hands over, forgets.
+fn check_jobs(node: &Rc<Node>, now: Duration) {
     let records: Vec<Rc<Record>> = {
         let core = node.core.borrow();
         core.jobs
@@ -251,19 +255,19 @@
     let living = node.core.borrow().peers.living_owners(now);
     for record in &records {
         let job = &record.id;
-        let mine = record.owner == node.owner;
+        let is_local = record.owner == node.owner;
         let epoch = node.runs.owned.borrow().get(job).map(|owned| owned.epoch);
-        if epoch.is_some_and(|epoch| !mine || record.cancelled || epoch != record.epoch) {
+        if epoch.is_some_and(|epoch| !is_local || record.cancelled || epoch != record.epoch) {
             log::info!(job = **job, cancelled = record.cancelled; "job no longer run here");
             forget(node, job);
         }
-        if mine {
+        if is_local {
             adopt(node, job);
         }
-        consider_claim(node, now, record, &living);
+        claim_if_orphaned(node, now, record, &living);
     }
     let version = node.routes().map_or(0, |table| table.rules.version);
-    if node.runs.assigned_by.replace(version) != version {
+    if node.runs.assigned_version.replace(version) != version {
         assign_services(node);
     }
     expire(node, now);
@@ -274,8 +278,8 @@
     for job in owned {
         write_results(node, now, &job);
     }
-    remove_old(node, now);
-    forget_old(node, now);
+    remove_expired(node, now);
+    forget_expired(node, now);
 }
 
 /// Gives up items whose retention has passed.
@@ -304,7 +308,7 @@
     !owned.is_empty()
 }
 
-/// What waits of the jobs that run here, and of those that nobody runs.
+/// Items and results that wait in the jobs that run here, and jobs without an owner.
 pub fn waiting(node: &Node, now: Duration) -> Vec<Row> {
     let owned = node.runs.owned.borrow();
     let mut rows: Vec<Row> = owned
@@ -324,7 +328,7 @@
     rows
 }
 
-impl Owned {
+impl OwnedJob {
     fn waiting(&self, now: Duration, job: &JobId) -> Vec<Row> {
         let until_ms = Some(self.due.saturating_sub(now).as_millis() as u64);
         let idle = self
@@ -337,8 +341,8 @@
             waits_for: waits_for.into(),
             until_ms,
         };
-        let away = now < self.write_after;
-        let listing = match away {
+        let has_failed = now < self.write_after;
+        let listing = match has_failed {
             true => "the metadata store, which failed a moment ago",
             false => "the next write of the job's record",
         };
--- a/src/serve/runs/item.rs
+++ b/src/serve/runs/item.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-use super::{finish, Run};
+use super::{finish, ItemRun};
 use crate::clock;
 use crate::decide::items::ItemKey;
 use crate::decide::quarantine::Fingerprint;
@@ -24,21 +24,22 @@
 use crate::serve::quarantine::{self, Trial};
 use crate::serve::stopping::unless_stopped;
 
-/// An item is started only where a slot is free, so its first event comes soon; engines that are
-/// slowed many times over still send one within this time.
+/// Timeout for the answer and for each event. An item is started only where a slot is free, so its
+/// first event comes soon; engines slowed many times over still send one within this time.
 const EVENT_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How a run of an item ended.
-enum End {
+enum RunEnd {
     Complete,
-    /// The endpoint says that the item can never be done.
+    /// The endpoint refused the item for good.
     Rejected,
-    /// The endpoint tried and failed.
+    /// The endpoint tried the item and failed.
     ItemFailed,
-    /// It was taken back for online requests.
+    /// The item was preempted by online requests.
     Yielded,
-    /// It was not sent, since it ends the endpoints that run it; for how long yet.
-    HeldBack(Duration),
+    /// Not sent: the item is quarantined, since it ends the endpoints that run it. Holds the time
+    /// left.
+    Quarantined(Duration),
     Failed(Failure),
 }
 
@@ -63,7 +64,7 @@
     );
     let run = run_item(node.clone(), key, endpoint, items, stop.clone());
     let abort = tokio::task::spawn_local(run).abort_handle();
-    progress.run = Some(Run { abort, stop });
+    progress.run = Some(ItemRun { abort, stop });
 }
 
 async fn run_item(
@@ -73,8 +74,8 @@
     items: Rc<Vec<Item>>,
     stop: Rc<Notify>,
 ) {
-    let out = outgoing(&node, &key, &items);
-    let began = Began {
+    let out = item_request(&node, &key, &items);
+    let start = RunStart {
         at: clock::now(),
         last_event: last_event(&node, &key),
     };
@@ -82,14 +83,14 @@
         Some(out) => {
             let exchanged = exchange_item(&node, &key, endpoint, out);
             let ended = unless_stopped(exchanged, &stop).await;
-            ended.unwrap_or(End::Yielded)
+            ended.unwrap_or(RunEnd::Yielded)
         }
-        None => End::Rejected,
+        None => RunEnd::Rejected,
     };
     let target = node.target(endpoint);
     let ended = match (&end, &out, &target) {
-        (End::Failed(failure), Some(out), Some(target)) if failure.lost => {
-            lost(&node, &key, out, target, began).await
+        (RunEnd::Failed(failure), Some(out), Some(target)) if failure.lost => {
+            report_lost(&node, &key, out, target, start).await
         }
         _ => false,
     };
@@ -97,43 +98,43 @@
     node.runs
         .with_progress(&key, |progress| progress.run = None);
     let what = match &end {
-        End::Complete => "completed",
-        End::Rejected => "rejected",
-        End::ItemFailed => "failed",
-        End::Yielded => "yielded",
-        End::HeldBack(_) => "held_back",
-        End::Failed(_) => "broken_off",
+        RunEnd::Complete => "completed",
+        RunEnd::Rejected => "rejected",
+        RunEnd::ItemFailed => "failed",
+        RunEnd::Yielded => "yielded",
+        RunEnd::Quarantined(_) => "held_back",
+        RunEnd::Failed(_) => "broken_off",
     };
     node.counters.items.with_label_values(&[what]).inc();
     log::info!(
         job = *key.job,
         item = items.get(key.item as usize).map_or("", |item| &*item.id),
-        asked = asked(out.as_ref(), &end).map_or_else(String::new, |asked| asked.to_string()),
+        asked = lost_fingerprint(out.as_ref(), &end).map_or_else(String::new, |asked| asked.to_string()),
         endpoint = target.map_or_else(String::new, |target| target.instance),
         ended,
         what,
         detail = match &end {
-            End::Failed(failure) => failure.detail.as_str(),
+            RunEnd::Failed(failure) => failure.detail.as_str(),
             _ => "",
         };
         "item ran"
     );
     match end {
-        End::Complete => {
+        RunEnd::Complete => {
             if let Some(out) = &out {
                 quarantine::answered(&node, out);
             }
             node.core.borrow_mut().items.completed(now, &key);
             finish(&node, &key, Outcome::Completed);
         }
-        End::Rejected => finish(&node, &key, Outcome::Errored),
-        End::ItemFailed => item_failed(&node, &key, now),
-        End::Yielded => node.core.borrow_mut().items.paused(now, &key, false),
-        End::HeldBack(back_in) => {
+        RunEnd::Rejected => finish(&node, &key, Outcome::Errored),
+        RunEnd::ItemFailed => item_failed(&node, &key, now),
+        RunEnd::Yielded => node.core.borrow_mut().items.paused(now, &key, false),
+        RunEnd::Quarantined(back_in) => {
             let mut core = node.core.borrow_mut();
             core.items.held_back(now, &key, back_in);
         }
-        End::Failed(failure) => {
+        RunEnd::Failed(failure) => {
             let mut core = node.core.borrow_mut();
             if let Some(row) = core
                 .online
@@ -153,7 +154,7 @@
     node.tell_peers.notify_one();
 }
 
-/// The endpoint answered that it failed: counted, and after the route's number given up.
+/// Counts a failure that the endpoint reported; after the route's maximum the item is given up.
 fn item_failed(node: &Node, key: &ItemKey, now: Duration) {
     let attempts_max = attempts_max(node, key);
     let failures = {
@@ -161,7 +162,7 @@
         let Some(job) = guard.get_mut(&key.job) else {
             return;
         };
-        job.uncounted = true;
+        job.failures_unwritten = true;
         job.finished_at.get_or_insert(now);
         let Some(progress) = job.progress.get_mut(&key.item) else {
             return;
@@ -189,37 +190,37 @@
         .map_or(TRIES_MAX, |route| route.attempts_max)
 }
 
-/// Sends an item and reads its events. Each whole event is kept at once, so that a run which is
-/// stopped or breaks off goes on after it.
+/// Sends an item and reads its events. Each whole event is kept at once, so that a run that is
+/// stopped or breaks off resumes after it.
 async fn exchange_item(
     node: &Rc<Node>,
     key: &ItemKey,
     endpoint: EndpointId,
     out: &Outgoing,
-) -> End {
-    let failed = |reach, detail: &str| End::Failed(Failure::blamed(reach, detail));
+) -> RunEnd {
+    let failed = |reach, detail: &str| RunEnd::Failed(Failure::blamed(reach, detail));
     let Some(target) = node.target(endpoint) else {
         let gone = Failure::unblamed(AttemptStage::NotSent, "the endpoint is gone");
-        return End::Failed(gone);
+        return RunEnd::Failed(gone);
     };
     if let Err(back_in) = quarantine::admit(node, out, Trial::Here) {
-        return End::HeldBack(back_in);
+        return RunEnd::Quarantined(back_in);
     }
     let sent = exchange::send(node, &target, out, None, last_event(node, key));
     let answer = match timeout(EVENT_TIMEOUT, sent).await {
         Ok(Ok(answer)) => answer,
-        Ok(Err(failure)) => return End::Failed(failure),
+        Ok(Err(failure)) => return RunEnd::Failed(failure),
         Err(_) => return failed(AttemptStage::MaybeSent, "no answer in time"),
     };
     match answer.head.status {
         StatusCode::OK if answer.said.signed => {}
-        StatusCode::UNPROCESSABLE_ENTITY => return End::Rejected,
-        StatusCode::INTERNAL_SERVER_ERROR => return End::ItemFailed,
+        StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Rejected,
+        StatusCode::INTERNAL_SERVER_ERROR => return RunEnd::ItemFailed,
         status => return failed(AttemptStage::MaybeSent, &format!("answered {status}")),
     }
     let keep_alive = exchange::keep_alive(&answer.head);
     let read = read_events(node, key, endpoint, answer.body).await;
-    if let (End::Complete, Some(keep_alive)) = (&read, keep_alive) {
+    if let (RunEnd::Complete, Some(keep_alive)) = (&read, keep_alive) {
         node.pool.give(endpoint, answer.connection, keep_alive);
     }
     read
@@ -230,9 +231,9 @@
     key: &ItemKey,
     endpoint: EndpointId,
     mut body: Incoming,
-) -> End {
-    let broken = |detail: String| End::Failed(Failure::blamed(AttemptStage::Answering, detail));
-    let lost = |detail: String| End::Failed(Failure::lost(AttemptStage::Answering, detail));
+) -> RunEnd {
+    let broken = |detail: String| RunEnd::Failed(Failure::blamed(AttemptStage::Answering, detail));
+    let lost = |detail: String| RunEnd::Failed(Failure::lost(AttemptStage::Answering, detail));
     let mut splitter = Splitter::default();
     loop {
         let frame = match timeout(EVENT_TIMEOUT, body.frame()).await {
@@ -246,23 +247,28 @@
                     continue;
                 };
                 for event in splitter.push(&data) {
-                    if let Err(detail) = keep_event(node, key, event.id, event.data()) {
+                    if let Err(detail) = record_event(node, key, event.id, event.data()) {
                         return broken(detail);
                     }
                 }
                 if splitter.overlong() {
-                    return broken("an event without an end".into());
+                    return broken("an event is too long".into());
                 }
             }
             Some(Err(error)) => return lost(format!("the stream broke off: {error}")),
             None if splitter.partial() => return lost("the stream ended within an event".into()),
-            None => return End::Complete,
+            None => return RunEnd::Complete,
         }
     }
 }
 
-fn keep_event(node: &Node, key: &ItemKey, event: Option<u64>, text: String) -> Result<(), String> {
-    let kept = node.runs.with_progress(key, |progress| {
+fn record_event(
+    node: &Node,
+    key: &ItemKey,
+    event: Option<u64>,
+    text: String,
+) -> Result<(), String> {
+    let recorded = node.runs.with_progress(key, |progress| {
         if event.is_none() {
             return Err("an event without an id".into());
         }
@@ -271,11 +277,11 @@
         progress.texts.push(text);
         Ok(())
     });
-    kept.unwrap_or_else(|| Err("the job is no longer run here".into()))
+    recorded.unwrap_or_else(|| Err("the job is no longer run here".into()))
 }
 
-/// Where an item stood when its run began.
-struct Began {
+/// An item's state when its run began.
+struct RunStart {
     at: Duration,
     last_event: Option<u64>,
 }
@@ -285,27 +291,33 @@
     last.flatten()
 }
 
-/// The connection of a run broke; true when its endpoint has ended.
-async fn lost(node: &Node, key: &ItemKey, out: &Outgoing, target: &Target, began: Began) -> bool {
+/// Reports that the connection of a run broke; true when its endpoint has ended.
+async fn report_lost(
+    node: &Node,
+    key: &ItemKey,
+    out: &Outgoing,
+    target: &Target,
+    start: RunStart,
+) -> bool {
     let run = quarantine::Run {
         out,
         target,
-        ran: clock::now().saturating_sub(began.at),
-        progressed: last_event(node, key) > began.last_event,
+        ran: clock::now().saturating_sub(start.at),
+        progressed: last_event(node, key) > start.last_event,
     };
     quarantine::lost(node, run).await
 }
 
 /// Fingerprint of an item whose run lost its connection.
-fn asked(out: Option<&Outgoing>, end: &End) -> Option<Fingerprint> {
-    let lost = matches!(end, End::Failed(failure) if failure.lost);
+fn lost_fingerprint(out: Option<&Outgoing>, end: &RunEnd) -> Option<Fingerprint> {
+    let lost = matches!(end, RunEnd::Failed(failure) if failure.lost);
     out.filter(|_| lost).map(Outgoing::fingerprint)
 }
 
-/// The item as a request; `None` when it can't be one.
-fn outgoing(node: &Node, key: &ItemKey, items: &[Item]) -> Option<Outgoing> {
+/// The item as a request; `None` when it is no valid one.
+fn item_request(node: &Node, key: &ItemKey, items: &[Item]) -> Option<Outgoing> {
     let item = items.get(key.item as usize)?;
-    let (record, _) = node.core.borrow().jobs.standing(&key.job)?;
+    let (record, _) = node.core.borrow().jobs.current(&key.job)?;
     let mut headers = HeaderMap::new();
     for (name, value) in &item.headers {
         let name: HeaderName = name.parse().ok()?;
