--- a/src/batch.rs
+++ b/src/batch.rs
@@ -1,4 +1,4 @@
-//! `bramley-batch`: works off batch jobs beside the entry process of the same VM.
+//! `bramley-batch`: runs the items of batch jobs, beside the entry process of the same VM.
 
 pub mod host;
 pub mod items;
@@ -37,7 +37,7 @@
     },
 }
 
-/// Runs until a signal ends it; the exit code says whether everything was handed over.
+/// Runs until a signal stops the process; returns exit code 0 if all work was handed over, else 3.
 pub fn run(settings: settings::Batch) -> Result<i32, Error> {
     logging::start(&settings.log, &settings.name, &settings.failure_domain);
     let mut signals = Signals::new([SIGTERM, SIGINT]).context(StartSnafu { what: "signals" })?;
--- a/src/batch/host.rs
+++ b/src/batch/host.rs
@@ -1,4 +1,5 @@
-//! Drives the deciding functions of batch work: events in, actions carried out.
+//! Event loop of the batch process: feeds events to the decision functions and carries out their
+//! actions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -31,17 +32,18 @@
 use crate::wire::{Key, ToBatch, ToEntry};
 
 const TICK: Duration = Duration::from_millis(20);
-/// Threads that talk to the platform and the disks.
+/// Threads that call the platform and the bulk stores.
 const CLERKS: usize = 8;
 const FLIGHT_STACK_BYTES: usize = 256 * 1024;
 const PATIENCE: Duration = Duration::from_secs(3);
-/// Results of a checkpoint go inline up to this size, so that small jobs need no disk.
+/// Largest size of a checkpoint's results that are stored inline, so that small jobs need no bulk
+/// store.
 const INLINE_RESULTS: usize = 256 * 1024;
 
-/// What a clerk does next.
+/// A blocking call for a worker thread.
 type Work = Box<dyn FnOnce() + Send>;
 
-/// What the pages show.
+/// State shown on the operators' pages.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Shown {
     pub linked: bool,
@@ -52,7 +54,7 @@
     pub windows: u32,
 }
 
-/// One chunk in hand.
+/// A chunk that this process works on.
 #[derive(Debug, Clone, Serialize)]
 pub struct ShownRun {
     pub job: String,
@@ -61,18 +63,18 @@
     pub waits_for: &'static str,
 }
 
-/// What threads of the host share.
+/// Clients and tables shared by the threads of the host.
 struct Tools {
     platform: Platform,
     segments: Segments,
     engines: Engines,
     sender: Sender<Message>,
-    /// Tries under way: endpoint address and attempt id, and whether they were cancelled.
+    /// In-flight attempts: endpoint address, attempt id, and whether the attempt was cancelled.
     flights: Mutex<HashMap<AttemptId, (Name, String, bool)>>,
     files: Mutex<HashMap<String, Arc<FileRecord>>>,
 }
 
-/// The process's state.
+/// State of the batch process.
 pub struct Host {
     settings: settings::Batch,
     key: Key,
@@ -93,7 +95,7 @@
 }
 
 impl Host {
-    /// A process that has started nothing yet.
+    /// Creates the state; starts no threads.
     pub fn new(settings: settings::Batch, sender: Sender<Message>) -> Host {
         let key = Key::new(&settings.cluster_key);
         let address = settings.platform_address.to_string();
@@ -133,12 +135,12 @@
         }
     }
 
-    /// What the pages show.
+    /// The state shown on the operators' pages.
     pub fn shown(&self) -> Arc<Mutex<Shown>> {
         self.shown.clone()
     }
 
-    /// What the link needs; once.
+    /// Settings of the link to the entry process; the outgoing messages are handed out only once.
     pub fn link_settings(&self) -> link::Settings {
         let outgoing = lock(&self.outgoing)
             .take()
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Starts the loop; the receiver tells when everything was handed over after a stop.
+    /// Starts the threads; the receiver gets a message once all work is handed over after a stop.
     pub fn start(mut self, messages: Receiver<Message>) -> io::Result<Receiver<()>> {
         let clerks = Arc::new(Mutex::new(lock(&self.clerks).take()));
         for _ in 0..CLERKS {
@@ -196,8 +198,8 @@
                 handle(&mut self.batch, Event::Leave(self.stopping));
             }
             Message::Unlinked => {
-                // Without the entry process nothing tells what online requests need: stop sending
-                // at once; what is under way ends.
+                // Without the entry process the needs of online requests are unknown: start no more
+                // items. Items in flight run to their end.
                 self.linked = false;
                 handle(&mut self.batch, Event::Windows(Vec::new()));
             }
@@ -222,7 +224,7 @@
                 self.config = Some(Arc::new(*versioned));
                 let views = self.views(now);
                 handle(&mut self.batch, Event::Shares(shares));
-                // Which services the jobs ask for may have changed.
+                // The configuration decides which services a job's targets belong to.
                 handle(&mut self.batch, Event::Jobs(views));
             }
             Message::Entry(ToBatch::Jobs(records)) => {
@@ -248,12 +250,13 @@
             .collect()
     }
 
-    /// Tells the entry process and the pages how things stand, and drops what nobody needs.
+    /// Reports the state to the entry process and the pages, and drops the lines of ended runs.
     fn tidy(&mut self) {
         let batch = &self.batch;
         self.lines
             .retain(|key, (run, _)| batch.runs.get(key).is_some_and(|r| r.id == *run));
-        // Handed over or not holding anything: the VM may go.
+        // The VM may stop once this process is draining and holds no work; 0 tells the entry
+        // process so.
         let busy = !batch.leaving() || !batch.idle();
         let ready = if busy { batch.owner() } else { 0 };
         if self.linked && self.said_ready != Some(ready) {
@@ -321,7 +324,8 @@
             return;
         };
         let tools = self.tools.clone();
-        // Not a clerk's work: a burst of online requests must not wait behind the platform.
+        // Runs on a thread of its own: a burst of online requests must not wait behind calls to the
+        // platform.
         let spawned = thread::Builder::new()
             .stack_size(FLIGHT_STACK_BYTES)
             .spawn(move || tools.engines.cancel(&address, &attempt));
@@ -359,8 +363,8 @@
                     .remove(&flight)
                     .is_some_and(|entry| entry.2);
                 let end = match end {
-                    // A death counts even so: were the item that killed the endpoint let off because
-                    // it had been called back, it would go out again beside those it hurt.
+                    // An endpoint's death counts although the item was preempted. Otherwise an item
+                    // that kills endpoints would run again beside the items that it harms.
                     AttemptEnd::Failed { died: false, .. } | AttemptEnd::Rejected { .. }
                         if cancelled =>
                     {
@@ -459,7 +463,7 @@
         let entry = self.platform.get(&file_key(file)).ok()??;
         let record: Arc<FileRecord> = Arc::new(serde_json::from_str(&entry.value).ok()?);
         let mut files = lock(&self.files);
-        // A few at a time are in use; the rest can be read again.
+        // Only a few files are in use at a time; any other can be read again.
         if files.len() >= 64 {
             files.clear();
         }
@@ -501,7 +505,7 @@
         Some(segments)
     }
 
-    /// Ends a job whose chunks have all ended.
+    /// Ends a job once all its chunks have ended.
     fn finish(&self, job: &str) {
         let Ok(Some(entry)) = self.platform.get(&job_key(job)) else {
             return;
@@ -524,8 +528,8 @@
         };
         let text = serde_json::to_string(&ended).unwrap_or_default();
         let until = clock::now() + PATIENCE;
-        // A loss is as good: another VM ended it with the same chunks, or it was cancelled and the
-        // next look ends it.
+        // A conflict needs no retry: either another VM ended the job from the same chunks, or the
+        // job was cancelled and the next check ends it.
         if let Settled::Won(_) = self
             .platform
             .commit(&job_key(job), entry.revision, &text, until)
@@ -536,7 +540,8 @@
     }
 }
 
-/// Cuts content at line ends into pieces that fit inline, where it has to go there.
+/// Splits content at line ends into pieces that fit inline; content for the bulk stores stays
+/// whole.
 fn pieces(content: Bytes, inline: bool) -> Vec<(Bytes, u32)> {
     let most = if inline {
         crate::segments::INLINE_BYTES
--- a/src/batch/items.rs
+++ b/src/batch/items.rs
@@ -1,4 +1,4 @@
-//! The items of a chunk: read from its lines, run at endpoints.
+//! The items of a chunk: parsed from its lines, and run at endpoints.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     body: &'a RawValue,
 }
 
-/// How an item is sent.
+/// An item as it is sent to an endpoint.
 #[derive(Debug, Clone)]
 struct Sending {
     method: String,
@@ -35,14 +35,15 @@
     idempotent: bool,
 }
 
-/// The items of one chunk.
+/// The parsed items of one chunk.
 #[derive(Debug)]
 pub struct Lines {
     pub planned: Vec<PlannedItem>,
+    /// Requests by item number; `None` for an invalid line.
     sendings: Vec<Option<Sending>>,
 }
 
-/// Reads the lines of a chunk; a line that can never be done is kept as such.
+/// Parses the lines of a chunk. An invalid line becomes an item that fails with an error result.
 pub fn plan(content: Bytes, state: &State) -> Lines {
     let mut lines = Lines {
         planned: Vec::new(),
@@ -81,6 +82,7 @@
     Bytes::from(custom_id.to_string())
 }
 
+/// Error code and message of an invalid line.
 type Bad = (&'static str, String);
 
 fn read<'a>(content: &Bytes, text: &[u8], state: &'a State) -> Result<(&'a Service, Sending), Bad> {
@@ -127,7 +129,7 @@
         .map(|named| named.model)
 }
 
-/// An end of a try that never left this process.
+/// The end of an attempt that never left this process.
 pub fn not_sent(detail: &str) -> AttemptEnd {
     AttemptEnd::Failed {
         reach: AttemptStage::NotSent,
@@ -136,7 +138,7 @@
     }
 }
 
-/// Runs one try of an item.
+/// Runs one attempt of an item.
 pub fn run(
     engines: &Engines,
     lines: &Lines,
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -1,4 +1,4 @@
-//! The link to the entry process of the same VM.
+//! The connection to the entry process of the same VM.
 
 use std::io;
 use std::net::{SocketAddr, TcpStream};
@@ -17,14 +17,14 @@
 const RETRY: Duration = Duration::from_millis(200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Where the entry process is, and what goes to it.
+/// The entry process's address, and the messages for it.
 pub struct Settings {
     pub address: SocketAddr,
     pub key: Key,
     pub outgoing: Receiver<ToEntry>,
 }
 
-/// Keeps a link up; messages go to `sender`.
+/// Connects, and reconnects whenever the connection is lost; received messages go to `sender`.
 pub fn start(settings: Settings, sender: Sender<Message>) -> io::Result<()> {
     let Settings {
         address,
--- a/src/batch/message.rs
+++ b/src/batch/message.rs
@@ -1,4 +1,4 @@
-//! What the loop of the batch process takes.
+//! Messages to the event loop of the batch process.
 
 use std::sync::Arc;
 
@@ -6,14 +6,14 @@
 use crate::decide::batch::{ChunkKey, Event};
 use crate::wire::ToBatch;
 
-/// What the host's loop takes.
+/// A message to the event loop.
 #[derive(Debug)]
 pub enum Message {
     Linked,
     Unlinked,
     Entry(ToBatch),
     Event(Event),
-    /// The lines of a chunk were read, for [`Event::Loaded`].
+    /// The lines of a chunk were loaded, for [`Event::Loaded`].
     Lines {
         key: ChunkKey,
         run: u64,
--- a/src/bulk.rs
+++ b/src/bulk.rs
@@ -1,4 +1,4 @@
-//! `bramley-bulk`: keeps write-once content on the disk of its VM.
+//! `bramley-bulk`: stores write-once content on the disk of its VM.
 
 pub mod repair;
 pub mod store;
@@ -37,8 +37,8 @@
     },
 }
 
-/// Runs until a signal ends it. Content is on the disk before it is acknowledged, so nothing has to
-/// be saved at a stop.
+/// Runs until a signal stops the process. Content is on disk before it is acknowledged, so a stop
+/// has nothing to save.
 pub fn run(settings: settings::Bulk) -> Result<i32, Error> {
     logging::start(&settings.log, &settings.name, &settings.failure_domain);
     let mut signals = Signals::new([SIGTERM, SIGINT]).context(StartSnafu { what: "signals" })?;
@@ -97,7 +97,7 @@
     })
 }
 
-/// Starts the threads that repair and remove.
+/// Starts the threads that repair missing copies and remove expired content.
 fn start_care(store: &Arc<Store>, settings: &settings::Bulk) -> io::Result<()> {
     let (repairing, own) = (store.clone(), settings.clone());
     thread::Builder::new()
--- a/src/bulk/repair.rs
+++ b/src/bulk/repair.rs
@@ -1,4 +1,4 @@
-//! Makes new copies of pieces that have too few.
+//! Restores the missing copies of pieces that are in too few failure domains.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use crate::wire::{Key, PeerAsk, PeerReply};
 
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Digests in one question.
+/// Digests per request.
 const ASKED_AT_ONCE: usize = 10_000;
 
-/// Looks once at all pieces kept here; returns how many copies were made.
+/// Checks all local pieces once; returns the number of copies made.
 ///
-/// Of the holders that can be reached, only the first by rank makes copies, so that a loss is not
-/// repaired by all of them at once. Two that can't reach each other may both do it: one copy too
-/// many is harmless.
+/// Of the holders that answer, only the first by rank makes copies, so that a loss is not repaired
+/// by all of them at once. Two holders that can't reach each other may both make one: a surplus
+/// copy is harmless.
 pub fn round(store: &Store, settings: &Bulk) -> usize {
     let key = Key::new(&settings.cluster_key);
     let mut digests = store.digests();
--- a/src/bulk/store.rs
+++ b/src/bulk/store.rs
@@ -1,4 +1,4 @@
-//! Pieces of content in files named by their digest.
+//! Content-addressed pieces, one file each, named by digest.
 
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -14,7 +14,7 @@
 use crate::id;
 use crate::util::lock;
 
-/// Why a piece was not kept.
+/// Why a piece was not stored.
 #[derive(Debug, Snafu)]
 pub enum Error {
     #[snafu(display("the content does not have the digest {digest}"))]
@@ -25,17 +25,17 @@
     Disk { source: io::Error },
 }
 
-/// The pieces under one folder.
+/// The pieces in one folder.
 pub struct Store {
     folder: PathBuf,
     max_bytes: u64,
-    /// Size of each piece by digest. Invariant: a piece is in here only when it is whole on disk.
+    /// Size of each piece by digest. Invariant: a listed piece is complete on disk.
     pieces: Mutex<HashMap<String, u64>>,
     next_temporary: AtomicU64,
 }
 
 impl Store {
-    /// Opens a folder; what was being written when the process died is removed.
+    /// Opens a folder and removes the partial files of a process that died while writing.
     pub fn open(folder: &Path, max_bytes: u64) -> io::Result<Store> {
         fs::create_dir_all(folder)?;
         let mut pieces = HashMap::new();
@@ -57,12 +57,12 @@
         })
     }
 
-    /// Bytes kept.
+    /// Total bytes of all pieces.
     pub fn bytes(&self) -> u64 {
         lock(&self.pieces).values().sum()
     }
 
-    /// Pieces kept.
+    /// Number of pieces.
     pub fn count(&self) -> usize {
         lock(&self.pieces).len()
     }
@@ -72,16 +72,16 @@
         lock(&self.pieces).keys().cloned().collect()
     }
 
-    /// Whether a piece is kept.
+    /// Whether a piece is stored.
     pub fn has(&self, digest: &str) -> bool {
         lock(&self.pieces).contains_key(digest)
     }
 
-    /// Keeps a piece; it is on the disk when this returns.
+    /// Stores a piece; it is on disk when this returns.
     ///
-    /// The failure: power is lost right after the acknowledgement, and the file is there with its
-    /// name and without its content. So the content is synced before the file gets its name, and
-    /// the folder after.
+    /// The content is synced before the file is renamed to its digest, and the folder afterwards.
+    /// Without this, a power loss right after the acknowledgement could leave a named file without
+    /// its content.
     pub fn put(&self, digest: &str, content: &[u8]) -> Result<(), Error> {
         if !is_digest(digest) || id::digest(content) != digest {
             return DigestSnafu { digest }.fail();
@@ -115,7 +115,8 @@
         File::open(&self.folder)?.sync_all()
     }
 
-    /// Reads a piece; one that is broken on the disk is dropped, so that repair brings it back.
+    /// Reads a piece. A piece whose content does not match its digest is removed, so that repair
+    /// restores it.
     pub fn get(&self, digest: &str) -> Option<Bytes> {
         if !self.has(digest) {
             return None;
@@ -133,7 +134,8 @@
         fs::remove_file(self.folder.join(digest)).context(DiskSnafu)
     }
 
-    /// Removes pieces older than `retention` at the wall-clock time `now`; returns how many.
+    /// Removes pieces older than `retention` at the wall-clock time `now`; returns the number
+    /// removed.
     pub fn remove_older(&self, now: Duration, retention: Duration) -> usize {
         let old = |digest: &String| {
             let metadata = fs::metadata(self.folder.join(digest)).ok()?;
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,4 +1,5 @@
-//! `bramley-entry`: callers' requests, membership, configuration, the table of endpoints.
+//! `bramley-entry`: serves callers, and keeps the membership, the configuration and the endpoint
+//! table.
 
 pub mod counters;
 pub mod feed;
@@ -50,7 +51,8 @@
     },
 }
 
-/// Runs until a signal ends it; the exit code says whether anything was cut.
+/// Runs until a signal stops the process; returns exit code 0 if every request ended, 3 if any was
+/// cut.
 pub fn run(settings: settings::Entry) -> Result<i32, Error> {
     logging::start(&settings.log, &settings.name, &settings.failure_domain);
     let signals = Signals::new([SIGTERM, SIGINT]).context(ListenSnafu { what: "signals" })?;
@@ -101,7 +103,8 @@
     Ok(stop(&node, &server, signals))
 }
 
-/// Waits for a signal, then leaves in order: no new work, what is in hand ends, peers are told.
+/// Waits for a signal, then drains: peers are informed, no new work is accepted, requests in flight
+/// end. A second signal ends the wait.
 fn stop(node: &Arc<Node>, server: &Server, mut signals: Signals) -> i32 {
     while !node.superseded() && signals.pending().next().is_none() {
         clock::sleep(STOP_LOOK);
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -1,4 +1,4 @@
-//! Tells the batch process of the same VM: configuration, jobs, crew, windows.
+//! Updates for the batch process of the same VM: configuration, jobs, batch peers, windows.
 
 use std::collections::BTreeMap;
 use std::sync::mpsc::Sender;
@@ -13,11 +13,11 @@
 use crate::util::lock;
 use crate::wire::ToBatch;
 
-/// A job that is due within this time may use more of busy endpoints.
+/// A job that is due within this time may use more slots of endpoints that serve online requests.
 const URGENT: Duration = Duration::from_secs(60);
 
 impl Node {
-    /// Tells how many batch items each endpoint may have, when that has changed.
+    /// Sends the number of batch items that each assigned endpoint may run, if any has changed.
     pub fn push_windows(&self, now: Duration, core: &mut Core) {
         let Some(plan) = core.plan.clone() else {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Tells who shares batch work, when that has changed.
+    /// Sends which VMs and owners share the batch work, if that has changed.
     pub fn push_crew(&self, core: &Core) {
         let card = &core.fleet.card;
         let mut hands: BTreeMap<ServiceId, ServiceWorkers> = BTreeMap::new();
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Tells the batch process of all jobs that have not ended.
+    /// Sends all job records that have not ended.
     pub fn push_jobs(&self, core: &Core) {
         lock(&self.links).send(ToBatch::Jobs(core.jobs.active()));
     }
 
-    /// Takes a new link to the batch process and tells it everything.
+    /// Attaches a new connection of the batch process and sends the complete state.
     pub fn attach(&self, sender: Sender<ToBatch>) {
         let core = lock(&self.core);
         let mut links = lock(&self.links);
--- a/src/entry/files.rs
+++ b/src/entry/files.rs
@@ -21,14 +21,14 @@
 use crate::segments::{self, INLINE_BYTES};
 use std::time::Duration;
 
-/// Lines in one file; well above the largest job that is foreseen.
+/// Lines allowed in one file; well above the largest expected job.
 pub const LINES_MAX: usize = 2_000_000;
 const RETRY_SOON: Duration = Duration::from_secs(2);
-/// Distinct models and services in one file that are noted.
+/// Distinct models and services of one file that are recorded.
 const TARGETS_MAX: usize = 256;
 const PATIENCE: Duration = Duration::from_secs(3);
 
-/// Answers calls under `/v1/files`.
+/// Handles calls under `/v1/files`.
 pub fn handle(
     node: &Node,
     asker: &Asker,
@@ -44,7 +44,7 @@
     }
 }
 
-/// What the platform's absence looks like to a caller.
+/// The refusal for a call that fails because the platform is unavailable.
 pub fn away(detail: &str) -> Problem {
     Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_SOON)
 }
@@ -74,7 +74,7 @@
     })
 }
 
-/// The file of an upload: the body itself, or the part named `file` of a form.
+/// The content of an upload: the body itself, or the part named `file` of a form.
 fn file_part(request: &Request) -> Option<Bytes> {
     let kind = request.header("Content-Type").unwrap_or_default();
     if !kind.starts_with("multipart/form-data") {
@@ -109,7 +109,7 @@
         .map(|at| from + at)
 }
 
-/// Cuts a file into segments of whole lines, one for each chunk of a job over it.
+/// Splits a file into segments of whole lines, one for each chunk of a job.
 pub fn cut(content: &Bytes) -> Vec<(Bytes, u32)> {
     let lines = content
         .split(|byte| *byte == b'\n')
@@ -138,8 +138,8 @@
     out
 }
 
-/// What the lines ask for, each once. Lines that can't be read ask for nothing; they end as errors
-/// wherever the chunk is worked on.
+/// The distinct models and services that the lines name. Invalid lines are skipped; they become
+/// error results when their chunk runs.
 fn targets(content: &Bytes) -> Vec<String> {
     #[derive(Deserialize)]
     struct Line<'a> {
@@ -214,10 +214,10 @@
     let until = clock::now() + PATIENCE;
     match node.platform.commit(&file_key(&record.id), 0, &text, until) {
         Settled::Won(_) => Ok(record),
-        // The same content was sent before; the first record stands.
+        // The same content was uploaded before; its first record stays.
         Settled::Lost(Some(entry)) => Ok(serde_json::from_str(&entry.value).unwrap_or(record)),
         Settled::Lost(None) | Settled::Away => Err(away("the file was not taken")),
-        // Sending it again is harmless: its id is made from its content.
+        // Uploading it again is harmless: the id is derived from the content.
         Settled::Unknown => Err(Problem {
             not_run: false,
             ..away("it is not known whether it was taken")
@@ -225,7 +225,7 @@
     }
 }
 
-/// Reads the record of an input file of the asking workspace.
+/// Reads the record of an input file of the caller's workspace.
 pub fn read_file(node: &Node, asker: &Asker, file: &str) -> Result<FileRecord, Problem> {
     let entry = node
         .platform
@@ -237,7 +237,7 @@
         .ok_or_else(|| Problem::not_run(RefusalKind::NotFound, format!("file {file:?}")))
 }
 
-/// Reads a job's record.
+/// Reads a job's record and its revision.
 pub fn read_job(node: &Node, asker: &Asker, job: &str) -> Result<(u64, JobRecord), Problem> {
     let entry = node
         .platform
@@ -252,7 +252,7 @@
         .ok_or_else(|| Problem::not_run(RefusalKind::NotFound, format!("batch {job:?}")))
 }
 
-/// Reads the records of a job's chunks that there are.
+/// Reads the chunk records of a job that have been written so far.
 pub fn read_chunks(node: &Node, job: &str) -> Result<Vec<ChunkRecord>, Problem> {
     let entries = node
         .platform
@@ -277,7 +277,7 @@
     }
 }
 
-/// The content of a file: an input file, or the output or error file of a job.
+/// The segments of a file: an input file, or the output or error file of a job.
 fn segments_of(node: &Node, asker: &Asker, file: &str) -> Result<Vec<Segment>, Problem> {
     let (job, errors) = match (file.strip_prefix("out-"), file.strip_prefix("err-")) {
         (Some(job), _) => (job, false),
@@ -293,7 +293,7 @@
         .collect())
 }
 
-/// Sends a file piece by piece: no more than one segment is held.
+/// Streams a file; at most one segment is held in memory.
 fn content(node: &Node, asker: &Asker, file: &str, out: &mut Responder) -> io::Result<()> {
     let segments = match segments_of(node, asker, file) {
         Ok(segments) => segments,
@@ -311,7 +311,8 @@
     out.start(&Head::new(200, "application/jsonl"))?;
     out.chunk(&first)?;
     for segment in segments {
-        // A piece that can't be read leaves the answer without its end: the caller sees that.
+        // A segment that can't be read leaves the chunked body unterminated, so the caller sees
+        // that it is incomplete.
         let piece = node.segments.load(segment).map_err(io::Error::other)?;
         out.chunk(&piece)?;
     }
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -1,4 +1,5 @@
-//! Threads towards other VMs and endpoints: datagrams, ticks, errands, peers' questions.
+//! Threads that communicate with other VMs and endpoints: datagrams, ticks, background tasks, and
+//! peers' requests.
 
 use std::io;
 use std::net::TcpListener;
@@ -124,7 +125,7 @@
     }
 }
 
-/// Answers other VMs.
+/// Answers the requests of other VMs.
 pub fn serve_peers(node: &Arc<Node>, listener: TcpListener) -> io::Result<()> {
     let node = node.clone();
     let key = node.key.clone();
--- a/src/entry/intent.rs
+++ b/src/entry/intent.rs
@@ -1,4 +1,4 @@
-//! At most once: carries out what the ranges of intents ask for.
+//! At-most-once calls: runs the ranges of the intent log, one thread per range.
 
 use std::collections::HashMap;
 use std::io;
@@ -24,7 +24,7 @@
 const PATIENCE: Duration = Duration::from_secs(4);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Starts a thread a range.
+/// Starts one thread per range.
 pub fn start(node: &Arc<Node>) -> io::Result<()> {
     let mut senders = Vec::new();
     for range in 0..RANGES {
@@ -39,8 +39,9 @@
     Ok(())
 }
 
-/// Asks the owner of the key's range, or decides here when it can't be reached: which VM writes
-/// costs only time, since the log's slots decide.
+/// Sends a request to the VM that owns the key's range, or decides it here if that VM is
+/// unreachable. Any VM may write to the range: the numbered slots of the log decide conflicts, so a
+/// second writer costs only time.
 pub fn ask(node: &Node, key: IntentKey, ask: IntentRequest) -> IntentVerdict {
     let owner = owner(node, range_of(&key));
     if let Some(address) = owner {
@@ -52,8 +53,8 @@
         if let Ok(PeerReply::Intent(verdict)) = reply {
             return verdict;
         }
-        // The owner may have written "begun" for us before its answer was lost. Deciding here
-        // reads that page and says "begun", which is the truth as far as it can be told.
+        // The owner may have recorded "begun" for this request before its reply was lost. Deciding
+        // here reads that page and returns "begun", the most that can be known.
     }
     ask_here(node, key, ask)
 }
@@ -73,7 +74,7 @@
         .map(|row| row.card.peer_address)
 }
 
-/// Decides here.
+/// Decides a request on the local thread of its range.
 pub fn ask_here(node: &Node, key: IntentKey, ask: IntentRequest) -> IntentVerdict {
     let (answer, verdict) = mpsc::channel();
     let Some(ranges) = node.ranges.get() else {
@@ -112,7 +113,7 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        // All that has come in meanwhile goes into the next page together.
+        // All requests that have arrived meanwhile share the next page.
         while let Ok(event) = events.try_recv() {
             host.take(event, &mut out);
         }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -1,4 +1,5 @@
-//! Batch jobs: created, listed, shown, cancelled. A job is accepted once its record stands.
+//! Batch jobs: create, list, show, cancel. A job is accepted once its record is written to the
+//! platform.
 
 use std::io;
 use std::time::Duration;
@@ -23,12 +24,12 @@
 const WINDOW_MAX_H: u64 = 24 * 14;
 const CANCEL_TRIES: u32 = 5;
 
-/// The body of a request for a job.
+/// Body of a request that creates a job.
 #[derive(Deserialize)]
 struct Asked {
     input_file_id: String,
     endpoint: String,
-    /// `24h`, or with `m` or `s`.
+    /// Duration such as `24h`, `30m` or `10s`.
     #[serde(default)]
     completion_window: Option<String>,
     #[serde(default)]
@@ -36,7 +37,7 @@
     metadata: Option<Value>,
 }
 
-/// Answers calls under `/v1/batches`.
+/// Handles calls under `/v1/batches`.
 pub fn handle(
     node: &Node,
     asker: &Asker,
@@ -92,7 +93,7 @@
         return Err(Problem::not_run(RefusalKind::BadRequest, detail));
     }
     let file = read_file(node, asker, &asked.input_file_id)?;
-    // Without a key, the same content sent again is the same job.
+    // Without a key, the same file and endpoint make the same job.
     let identity = match request.header("Idempotency-Key") {
         Some(key) => format!("{}\nkey\n{key}", asker.workspace),
         None => format!(
@@ -148,14 +149,14 @@
     }
 }
 
-/// Has the batch process of this VM know at once; the others learn by the watch.
+/// Passes a job to this VM's batch process at once; other VMs learn of it from their watches.
 fn learn(node: &Node, revision: u64, record: &JobRecord) {
     let mut core = lock(&node.core);
     core.jobs.take(revision, record.clone());
     node.push_jobs(&core);
 }
 
-/// A job as the batch interface shows it.
+/// A job as the API shows it.
 pub fn shown(record: &JobRecord) -> Value {
     let state: &'static str = record.state.into();
     let ended_s = record.ended_ms.map(|at| at / 1000);
@@ -196,7 +197,7 @@
 fn show(node: &Node, asker: &Asker, job: &str) -> Answer {
     let (_, mut record) = read_job(node, asker, job)?;
     if !record.state.ended() {
-        // What has been committed so far.
+        // Adds what the chunks have committed so far.
         for chunk in read_chunks(node, job)? {
             record.counts.completed += chunk.counts.completed;
             record.counts.failed += chunk.counts.failed;
@@ -226,7 +227,7 @@
                 learn(node, revision, &cancelled);
                 return Ok((shown(&cancelled), false));
             }
-            // Somebody ended or cancelled it meanwhile: look again.
+            // The job ended or was cancelled in the meantime: read it again.
             Settled::Lost(_) => {}
             Settled::Away => return Err(away("the job was not cancelled")),
             Settled::Unknown => {
--- a/src/entry/links.rs
+++ b/src/entry/links.rs
@@ -1,4 +1,4 @@
-//! The link to the batch process of the same VM, and what it was last told.
+//! The connection to the batch process of the same VM, and the state last sent to it.
 
 use std::sync::mpsc::Sender;
 
@@ -6,18 +6,19 @@
 use crate::id::{EndpointId, OwnerId, ServiceId};
 use crate::wire::ToBatch;
 
-/// The link to the batch process of this VM.
+/// The connection to the batch process of the same VM.
 #[derive(Default)]
 pub struct Links {
     pub to_batch: Option<Sender<ToBatch>>,
-    /// The batch process that is linked and takes on work; 0 for none.
+    /// Owner id of the connected batch process while it accepts work; 0 for none.
     pub batch: OwnerId,
+    /// Endpoint, its service, and the number of batch items that it may run.
     pub windows: Vec<(EndpointId, ServiceId, u32)>,
     pub crew: BatchPeers,
 }
 
 impl Links {
-    /// Sends a message; a link that is gone is forgotten.
+    /// Sends a message; drops a connection that is closed.
     pub fn send(&mut self, message: ToBatch) {
         if let Some(sender) = &self.to_batch {
             if sender.send(message).is_err() {
--- a/src/entry/local.rs
+++ b/src/entry/local.rs
@@ -1,4 +1,4 @@
-//! The link to the batch process of the same VM.
+//! Server side of the connection to the batch process of the same VM.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -16,7 +16,7 @@
 
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Serves one link at a time.
+/// Accepts connections, one at a time.
 pub fn serve(node: &Arc<Node>, listener: TcpListener) -> io::Result<()> {
     let node = node.clone();
     let accept = move || loop {
--- a/src/entry/node.rs
+++ b/src/entry/node.rs
@@ -1,4 +1,4 @@
-//! The state of an entry process, and what its threads share.
+//! The state of an entry process that its threads share.
 
 use std::collections::HashMap;
 use std::io;
@@ -28,25 +28,26 @@
 use crate::util::{self, lock};
 use crate::wire::{Datagram, Key, ToBatch, DATAGRAM_BYTES};
 
-/// Who asks, and under which configuration.
+/// The workspace of a caller, and the configuration under which its request is handled.
 #[derive(Clone)]
 pub struct Asker {
     pub plan: Arc<Plan>,
     pub workspace: Name,
 }
 
-/// What the deciding functions work on; one lock.
+/// The state that the decision functions work on, behind one lock.
 pub struct Core {
     pub online: Online,
     pub fleet: Fleet,
     pub plan: Option<Arc<Plan>>,
     pub jobs: Jobs,
-    /// When an online request was last at an endpoint.
+    /// When an online request was last in flight at each endpoint.
     pub online_at: HashMap<EndpointId, Duration>,
+    /// Where the handler of each open online request receives its actions.
     callers: HashMap<RequestId, Sender<Action>>,
 }
 
-/// Work for the background threads.
+/// Tasks that may block, run by the background threads.
 #[derive(Debug)]
 pub enum Errand {
     FetchConfig { from: SocketAddr },
@@ -72,12 +73,13 @@
     next_request: AtomicU64,
     leaving: AtomicBool,
     superseded: AtomicBool,
-    /// The platform or the peers were asked for the newest configuration.
+    /// Whether the newest configuration was requested from the platform or from the peers since the
+    /// start.
     pub caught_up: AtomicBool,
 }
 
 impl Node {
-    /// A process that has not opened anything yet.
+    /// Creates the state of a process; opens no sockets and starts no threads.
     pub fn new(settings: Entry) -> Arc<Node> {
         let card = VmStatus {
             vm: id::of(&settings.name),
@@ -132,19 +134,19 @@
         })
     }
 
-    /// Opens the socket for heartbeats.
+    /// Opens the UDP socket for heartbeats.
     pub fn open_gossip(&self) -> io::Result<()> {
         let socket = UdpSocket::bind(self.settings.gossip_address)?;
         let _ = self.gossip.set(socket);
         Ok(())
     }
 
-    /// The socket for heartbeats.
+    /// The UDP socket for heartbeats.
     pub fn gossip(&self) -> Option<&UdpSocket> {
         self.gossip.get()
     }
 
-    /// The other end of `errands`, once.
+    /// Takes the receiving end of the background tasks; `None` after the first call.
     pub fn take_errands(&self) -> Option<Receiver<Errand>> {
         lock(&self.errands_out).take()
     }
@@ -154,12 +156,12 @@
         lock(&self.core).plan.clone()
     }
 
-    /// Whether this VM should get requests, or why not.
+    /// Whether this VM should receive requests, or the reason why not.
     pub fn ready(&self) -> Result<(), &'static str> {
         self.ready_with(&lock(&self.core))
     }
 
-    /// Like [`Node::ready`], for a holder of the lock.
+    /// Like [`Node::ready`], for a caller that holds the lock.
     pub fn ready_with(&self, core: &Core) -> Result<(), &'static str> {
         if self.leaving.load(Ordering::SeqCst) {
             return Err("leaving");
@@ -173,12 +175,13 @@
         Ok(())
     }
 
-    /// Whether a later process has this VM's id.
+    /// Whether another process with this VM's id has started later.
     pub fn superseded(&self) -> bool {
         self.superseded.load(Ordering::SeqCst)
     }
 
-    /// Tells everybody that this VM takes nothing new.
+    /// Starts draining: reports to the peers and to the batch process that this VM accepts no new
+    /// work.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::SeqCst);
         let mut core = lock(&self.core);
@@ -189,7 +192,7 @@
         self.tick();
     }
 
-    /// Registers a request; its actions come on the receiver.
+    /// Registers a request; its actions arrive on the receiver.
     pub fn register(&self) -> (RequestId, Receiver<Action>) {
         let request = self.next_request.fetch_add(1, Ordering::SeqCst);
         let (sender, receiver) = mpsc::channel();
@@ -197,12 +200,12 @@
         (request, receiver)
     }
 
-    /// Forgets a request that has its final answer.
+    /// Removes a request that has its final answer.
     pub fn unregister(&self, request: RequestId) {
         lock(&self.core).callers.remove(&request);
     }
 
-    /// Takes an event of an online request and passes on what it brings about.
+    /// Handles an event of an online request and dispatches the resulting actions.
     pub fn online(&self, event: Event) {
         let now = clock::now();
         let mut core = lock(&self.core);
@@ -228,7 +231,7 @@
         }
     }
 
-    /// An online request goes to an endpoint: batch work there has to yield now.
+    /// Records that an online request goes to an endpoint, so that batch work there yields at once.
     fn note_online(&self, now: Duration, core: &mut Core, endpoint: EndpointId) {
         core.online_at.insert(endpoint, now);
         self.counters.attempts.inc();
@@ -247,7 +250,8 @@
         }
         match core.fleet.assigned_vm(endpoint) {
             Some(home) if home == core.fleet.card.vm => self.push_windows(now, core),
-            // Only the first one is told: while it is there, heartbeats tell of it.
+            // Only the first request is reported by a datagram; heartbeats report the rest while it
+            // runs.
             Some(home) if online == 1 => {
                 let to = core
                     .fleet
@@ -263,7 +267,7 @@
         }
     }
 
-    /// Another VM has sent online requests to an endpoint of which this one is home.
+    /// Handles the report that another VM sent online requests to an endpoint assigned to this VM.
     pub fn pressed(&self, endpoint: EndpointId) {
         let now = clock::now();
         let mut core = lock(&self.core);
@@ -271,7 +275,7 @@
         self.push_windows(now, &mut core);
     }
 
-    /// Sends a datagram.
+    /// Sends a datagram, sealed with the cluster key.
     pub fn send(&self, to: SocketAddr, message: &Datagram) {
         let Ok(sealed) = self.key.seal(message) else {
             return;
@@ -289,7 +293,7 @@
         }
     }
 
-    /// Does what has become due by the time alone.
+    /// Runs all time-driven work: online requests, heartbeats, job records, batch windows.
     pub fn tick(&self) {
         let now = clock::now();
         let mut core = lock(&self.core);
@@ -313,7 +317,7 @@
         self.push_crew(core);
     }
 
-    /// Carries out what the fleet's table asks for.
+    /// Carries out the actions of the fleet table.
     pub fn run_fleet(&self, core: &mut Core, actions: Vec<fleet::Action>) {
         for action in actions {
             match action {
@@ -345,12 +349,12 @@
         lock(&self.core).fleet.card.config
     }
 
-    /// Puts a configuration in force if it is newer than the one that is.
+    /// Puts a configuration in force if it is newer than the present one.
     pub fn adopt(&self, versioned: Versioned) -> bool {
         let version = versioned.head.version;
         let mut core = lock(&self.core);
-        // Never an older one: whoever was told "in force here" may count on it, whatever late
-        // answer of a peer or of the platform comes after.
+        // Never replaced by an older one: a caller that saw a version in force here relies on it,
+        // even if a peer or the platform answers late with an earlier version.
         if version <= core.fleet.card.config {
             return false;
         }
@@ -368,7 +372,7 @@
         true
     }
 
-    /// Keeps the configuration over a restart.
+    /// Saves the configuration to the data folder, for the next start.
     fn keep(&self, versioned: &Versioned) {
         let Some(folder) = &self.settings.data_dir else {
             return;
@@ -386,7 +390,7 @@
         }
     }
 
-    /// Takes up the configuration kept before a restart.
+    /// Loads the configuration that was saved before a restart.
     pub fn take_kept(&self) {
         let Some(folder) = &self.settings.data_dir else {
             return;
--- a/src/entry/online.rs
+++ b/src/entry/online.rs
@@ -1,4 +1,5 @@
-//! Online requests: carries out what the deciding functions say, one thread a request.
+//! Online requests of model services. Admission, routing and retries are decided in
+//! `decide::online`; this module carries the decisions out, with one thread per request.
 
 use std::io;
 use std::sync::mpsc::Receiver;
@@ -20,14 +21,16 @@
 use crate::id::{self, EndpointId, Name, RequestId};
 use crate::settings::ms;
 
-/// Bytes of the first message that count as the prompt's prefix.
+/// Bytes of the first message (or of the prompt) that are hashed to find requests with the same
+/// prefix.
 const PREFIX_BYTES: usize = 1024;
+/// Times that a broken stream is resumed from its last event before the request fails.
 const RESUMES: u32 = 2;
-/// Past its deadline a request gets an answer even if the deciding side were stuck.
+/// Time past its deadline after which a request is refused here, even if no decision has arrived.
 const GRACE: Duration = Duration::from_millis(500);
 const RETRY_SOON: Duration = Duration::from_secs(1);
 
-/// The parts of a body that the entry process looks at.
+/// The fields of a request body that the entry process reads.
 #[derive(Deserialize)]
 struct Asked<'a> {
     #[serde(borrow)]
@@ -41,7 +44,7 @@
 }
 
 impl Asked<'_> {
-    /// Hash of what requests with the same beginning share.
+    /// Hash of the prompt's beginning, equal for requests that share a cached prefix; 0 for none.
     fn prefix(&self) -> u64 {
         let first = self
             .messages
@@ -55,7 +58,7 @@
     }
 }
 
-/// One request on its way.
+/// An online request between its arrival and its final answer.
 pub struct Ticket<'a> {
     pub node: &'a Node,
     pub asker: &'a Asker,
@@ -66,7 +69,7 @@
     actions: Receiver<Action>,
 }
 
-/// What to do next for a request.
+/// The next step of a request.
 pub enum Next {
     Send {
         endpoint: EndpointId,
@@ -77,7 +80,7 @@
 }
 
 impl<'a> Ticket<'a> {
-    /// Asks for admission.
+    /// Submits a request for admission.
     pub fn open(
         node: &'a Node,
         asker: &'a Asker,
@@ -115,7 +118,7 @@
         }
     }
 
-    /// Waits for the next action.
+    /// Blocks until the next step is decided, at most until shortly after the deadline.
     pub fn next(&self) -> Next {
         let patience = self.left() + GRACE;
         match self.actions.recv_timeout(patience) {
@@ -128,13 +131,13 @@
                         address: address.clone(),
                         attempt: format!("{}-{attempt}", self.name),
                     },
-                    // The configuration changed between admission and now.
+                    // The configuration changed after admission.
                     None => Next::Refuse(
                         Problem::not_run(RefusalKind::NoEndpoint, "gone").after(RETRY_SOON),
                     ),
                 }
             }
-            // Its engine client has timeouts of its own.
+            // The engine client gives the attempt up by its own timeouts.
             Ok(Action::GiveUp { .. }) => self.next(),
             Ok(Action::Refuse {
                 kind,
@@ -157,12 +160,12 @@
         }
     }
 
-    /// Time to the deadline.
+    /// Time until the deadline.
     pub fn left(&self) -> Duration {
         self.deadline.saturating_sub(clock::now())
     }
 
-    /// Tells how a try ended.
+    /// Reports how an attempt ended.
     pub fn ended(&self, outcome: AttemptOutcome) {
         self.node.online(Event::Ended {
             request: self.request,
@@ -170,7 +173,7 @@
         });
     }
 
-    /// Tells of a fault.
+    /// Reports a failed attempt.
     pub fn failed(&self, fault: &Fault) {
         info!(request = self.name.as_str(), workspace = &*self.asker.workspace;
             "try failed: {}", fault.detail);
@@ -181,7 +184,7 @@
         });
     }
 
-    /// Tells that the first token came.
+    /// Reports the first token and observes the time that it took.
     pub fn first_token(&self) {
         self.node.online(Event::FirstToken {
             request: self.request,
@@ -190,7 +193,7 @@
         self.node.counters.first_token.observe(waited.as_secs_f64());
     }
 
-    /// Sends a refusal.
+    /// Sends a refusal to the caller.
     pub fn refuse(&self, problem: &Problem, out: &mut Responder) -> io::Result<()> {
         let reason: &'static str = problem.kind.into();
         self.node
@@ -210,13 +213,14 @@
 
 impl Drop for Ticket<'_> {
     fn drop(&mut self) {
-        // Whatever way the handler left, nothing stays in the tables. After an end this is no news.
+        // Removes the request from all tables, however its handler returned. A request that has
+        // ended already ignores this outcome.
         self.ended(AttemptOutcome::Abandoned);
         self.node.unregister(self.request);
     }
 }
 
-/// Lists the models that callers may name.
+/// Lists the models and adapters that requests may name.
 pub fn models(asker: &Asker, out: &mut Responder) -> io::Result<()> {
     let state = asker.plan.state();
     let models = state
@@ -231,7 +235,7 @@
     out.json(200, &json!({ "object": "list", "data": rows }))
 }
 
-/// Answers a chat or a completion.
+/// Handles a chat or text completion.
 pub fn handle(
     node: &Node,
     asker: &Asker,
@@ -261,7 +265,8 @@
             Next::Send {
                 address, attempt, ..
             } => {
-                // An endpoint that takes a request and never answers must leave time for another.
+                // Half of the time that is left, so that another endpoint can still be tried after
+                // one that accepts the request and never answers.
                 let timeout = if asked.stream {
                     ticket.left()
                 } else {
@@ -289,7 +294,7 @@
     }
 }
 
-/// One try of a whole answer; true when the caller has its final answer.
+/// Runs one attempt without streaming; returns true if the caller has received its final answer.
 fn try_whole(ticket: &Ticket<'_>, call: Call<'_>, out: &mut Responder) -> io::Result<bool> {
     match ticket.node.engines.call(call, true) {
         Ok(answer) => {
@@ -310,7 +315,7 @@
     out.full(&head, &answer.body)
 }
 
-/// One try of a stream; true when the caller has its final answer.
+/// Runs one streaming attempt; returns true if the caller has received its final answer.
 fn try_stream(ticket: &Ticket<'_>, call: Call<'_>, out: &mut Responder) -> io::Result<bool> {
     let mut events = match ticket.node.engines.stream(call) {
         Ok(Started::Stream(events)) => events,
@@ -421,8 +426,8 @@
     });
 }
 
-/// Ends a stream that can't be completed so that no caller takes it for whole: an error event, no
-/// end marker, and a chunked body without its last chunk.
+/// Ends an incomplete stream so that no caller takes it for complete: sends an error event, and
+/// neither the end marker nor the last chunk of the chunked body.
 fn break_off(fault: &Fault, out: &mut Responder) -> io::Result<()> {
     let name: &'static str = RefusalKind::EndpointFailed.into();
     let error = json!({ "error": { "type": name, "message": fault.detail } });
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -1,4 +1,4 @@
-//! Pages for operators: health, metrics, the tables, and what waits and why.
+//! Operators' pages: health, metrics, state dump, and what work waits for.
 
 use std::io;
 use std::net::TcpListener;
@@ -87,7 +87,7 @@
     .collect()
 }
 
-/// What waits at this VM, and for what.
+/// The work that waits at this VM, and what each waits for.
 fn why(node: &Node) -> Value {
     let now = clock::now();
     let core = lock(&node.core);
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to endpoints: carries out what the deciding functions say.
+//! Model orders to endpoints: carries out the actions of `decide::orders`.
 
 use std::io;
 use std::sync::Arc;
@@ -18,9 +18,10 @@
 use crate::util::{self, lock};
 
 const TICK: Duration = Duration::from_millis(200);
+/// Status of an endpoint that refuses an order because it has seen a newer fence.
 const REFUSED_AS_OLD: u16 = 409;
 
-/// An order as endpoints take it: the whole wanted state.
+/// The body of an order: the complete set of models that the endpoint should have loaded.
 #[derive(Serialize)]
 struct Order<'a> {
     fence: Epoch,
@@ -56,7 +57,7 @@
     }
 }
 
-/// What each endpoint of the own failure domain should have loaded.
+/// The models that each endpoint of the local failure domain should have loaded.
 fn wanted(core: &Core) -> Vec<EndpointModels> {
     let Some(plan) = &core.plan else {
         return Vec::new();
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -1,4 +1,4 @@
-//! Plain services: `ANY /svc/{service}/{path}`.
+//! Plain (non-model) services: `ANY /svc/{service}/{path}`.
 
 use std::io;
 
@@ -21,7 +21,7 @@
 const RETRY_SOON: Duration = Duration::from_secs(1);
 const KEY_BYTES: usize = 256;
 
-/// Answers a call of a plain service.
+/// Handles a call of a plain service.
 pub fn handle(
     node: &Node,
     asker: &Asker,
@@ -69,17 +69,18 @@
     path: &'a str,
 }
 
-/// How a call under a key ended, for the log of intents.
+/// How a call with an idempotency key ended, as the intent log records it.
 enum Ended {
     Answered(Answer),
-    /// No endpoint got a byte of it.
+    /// No endpoint received a byte of it.
     NotRun(Problem),
     Unknown(Problem),
 }
 
 impl Forward<'_> {
-    /// Runs a call that may not be repeated: begun is recorded before its first byte goes out, so
-    /// that whoever gets it again, on whichever VM, knows that it may have run.
+    /// Runs a call that must not be repeated. The intent log records that it has begun before its
+    /// first byte is sent, so that a VM that receives the same call again knows that it may have
+    /// run.
     fn at_most_once(&self, key: &str, out: &mut Responder) -> io::Result<()> {
         let scope = format!("{}\n{}\n{key}", self.asker.workspace, self.service.name);
         let intent = id::digest(scope.as_bytes());
@@ -110,7 +111,8 @@
             Ended::Unknown(_) => None,
         };
         if let Some(mark) = mark {
-            // A refusal that says "not run" is followed by the same key: it must find it released.
+            // After a refusal that says "not run" the caller may retry with the same key, which
+            // must be released by then.
             intent::ask(self.node, intent, IntentRequest::End(mark));
         }
         self.send(ended, out)
@@ -167,8 +169,8 @@
         }
     }
 
-    /// A plain service that answers 503 may have done part of the work: unlike an engine's, its
-    /// refusal is no proof for a call that may not be repeated.
+    /// A plain service that answers 503 may have done part of the work. Unlike an engine's refusal,
+    /// it does not show that a call which must not be repeated has not run.
     fn judge(&self, fault: Fault) -> Fault {
         match fault.reach {
             AttemptStage::Refused if !self.service.idempotent => Fault {
--- a/src/entry/plan.rs
+++ b/src/entry/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, laid out for lookups.
+//! The configuration in force, indexed for lookups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::id::{self, EndpointId, Name, ServiceId};
 use crate::settings::ms;
 
-/// The configuration in force.
+/// The configuration in force, indexed for lookups.
 #[derive(Debug)]
 pub struct Plan {
     pub versioned: Arc<Versioned>,
@@ -22,7 +22,7 @@
 }
 
 impl Plan {
-    /// Lays out a configuration.
+    /// Indexes a configuration.
     pub fn new(versioned: Arc<Versioned>) -> Plan {
         let state = &versioned.state;
         let keys = state
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The state that the operators declared.
+    /// The state that operators configured.
     pub fn state(&self) -> &State {
         &self.versioned.state
     }
 
-    /// The workspace whose key the request carries.
+    /// The workspace of the request's API key.
     pub fn workspace_of(&self, request: &Request) -> Option<Name> {
         let header = request.header("Authorization")?;
         let key = header
@@ -76,7 +76,7 @@
         self.addresses.get(&endpoint)
     }
 
-    /// The knob of a service.
+    /// The batch weight of a service; online weight 1.0 if it is not configured.
     pub fn knob(&self, service: ServiceId) -> BatchWeight {
         self.knobs
             .get(&service)
@@ -84,7 +84,7 @@
             .unwrap_or(BatchWeight { online_weight: 1.0 })
     }
 
-    /// The endpoints as the table takes them.
+    /// The endpoints in the form of the endpoint table.
     pub fn endpoints(&self) -> Vec<(EndpointId, EndpointConfig)> {
         let state = self.state();
         let limits: HashMap<&Name, u32> = state
@@ -105,7 +105,7 @@
         declared.collect()
     }
 
-    /// The services as admission takes them.
+    /// The services in the form of online admission.
     pub fn services(&self) -> HashMap<ServiceId, online::ServiceConfig> {
         let state = self.state();
         state
--- a/src/entry/question.rs
+++ b/src/entry/question.rs
@@ -1,10 +1,10 @@
-//! A question to the owner of a range of intents, on its way to the owner's thread.
+//! An intent request on its way to the thread of its range.
 
 use std::sync::mpsc::Sender;
 
 use crate::decide::intents::{IntentKey, IntentRequest, IntentVerdict};
 
-/// A question to the thread of a range.
+/// An intent request to the thread of its range.
 pub struct Question {
     pub key: IntentKey,
     pub ask: IntentRequest,
--- a/src/entry/table.rs
+++ b/src/entry/table.rs
@@ -1,4 +1,4 @@
-//! The table of job records at an entry process.
+//! The job records held by an entry process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,19 +6,19 @@
 use crate::decide::jobs::JobRecord;
 use crate::id::{JobId, Revision};
 
-/// Ended jobs are remembered for so long.
+/// Time for which ended jobs are kept.
 const ENDED_KEPT: Duration = Duration::from_secs(600);
 
-/// Job records as far as they are known here.
+/// The job records that this process has received.
 #[derive(Debug, Default)]
 pub struct Jobs {
     pub rows: BTreeMap<JobId, (Revision, JobRecord)>,
-    /// Invariant: all changes up to here are in `rows`.
+    /// Invariant: `rows` contains all changes up to this revision.
     pub revision: Revision,
 }
 
 impl Jobs {
-    /// Takes a record; an older one than is known changes nothing.
+    /// Stores a record unless a newer one is present.
     pub fn take(&mut self, revision: Revision, record: JobRecord) {
         let known = self
             .rows
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -1,6 +1,7 @@
-//! The platform as this VM sees it: configuration, job records, the list of VMs.
+//! Follows the platform: configuration, job records, and the list of VMs.
 //!
-//! Only the delegates of the failure domain watch; the others learn from them.
+//! Only the delegates of a failure domain watch the platform; the other VMs learn changes from
+//! them.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,15 +23,17 @@
 use crate::settings::ms;
 use crate::util::lock;
 
-/// How long one watch waits.
+/// Longest time that one watch call waits for a change.
 const WATCH_WAIT: Duration = Duration::from_secs(10);
-/// Time between two reads of the list of VMs by one delegate: two of them make one read a second.
+/// Time between two reads of the VM list by one delegate. With two delegates, a failure domain
+/// makes one read per second.
 const LIST_PAUSE: Duration = Duration::from_secs(2);
 const PAUSE: Duration = Duration::from_millis(200);
-/// Without the platform, a VM that starts waits so long for its peers to tell their versions.
+/// Time after the start during which a VM waits for its peers' versions if the platform is
+/// unavailable.
 const PEERS_PATIENCE: Duration = Duration::from_millis(1500);
 
-/// Starts the threads.
+/// Loads the saved configuration and starts the threads.
 pub fn start(node: &Arc<Node>) -> io::Result<()> {
     seed_peers(node);
     node.take_kept();
@@ -45,7 +48,7 @@
     Ok(())
 }
 
-/// VMs named in the settings: sent to before anything is known of them.
+/// Adds the VMs named in the settings, so that heartbeats go to them before their status is known.
 fn seed_peers(node: &Node) {
     let seeds = node.settings.peers.iter();
     let cards: Vec<VmStatus> = seeds.map(|address| seed_card(node, *address)).collect();
@@ -72,10 +75,11 @@
 
 fn watch_loop(node: &Arc<Node>) {
     let started = clock::now();
-    // A watch waits longer than other calls may take.
+    // A watch call takes longer than other calls.
     let timeout = WATCH_WAIT + ms(node.settings.platform_timeout_ms);
     let watcher = Platform::new(&node.settings.platform_address.to_string(), timeout);
-    // A head came whose bodies could not be read; the watch does not show it again.
+    // Set when the bodies of a configuration could not be read: the watch does not report its head
+    // again.
     let mut behind = false;
     loop {
         let caught_up = node.caught_up.load(Ordering::SeqCst);
@@ -149,7 +153,7 @@
     Ok(())
 }
 
-/// Takes all job records that changed between two revisions.
+/// Applies all job records that changed between two revisions.
 pub fn take_jobs(
     node: &Node,
     after: Revision,
@@ -160,7 +164,7 @@
     for (revision, record) in records {
         core.jobs.take(revision, record);
     }
-    // A gap would hide changes for ever: only what joins on to what is known moves the mark.
+    // `revision` advances only without a gap: changes inside a gap would never be read.
     if after <= core.jobs.revision && revision > core.jobs.revision {
         core.jobs.revision = revision;
         core.fleet.card.jobs = revision;
--- a/tests/endpoint_processes.rs
+++ b/tests/endpoint_processes.rs
@@ -1,4 +1,4 @@
-//! An endpoint starts again under its name: its processes are told apart by their starts.
+//! An endpoint restarts under the same name: its processes are told apart by their start times.
 
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
     id::of_process(NAME, Some(start))
 }
 
-// Requests run at an engine that leaves. It started again, drains, and a word of the process before, which was
-// on its way all the time, comes last. Neither that word nor any later one of that process counts.
+// An engine restarts and drains while requests still run at it, and then a delayed entry of its
+// previous process arrives. Neither that entry nor a later one of the previous process is used.
 #[test]
 fn late_word() {
     let mut discovery = Discovery::default();
@@ -62,8 +62,8 @@
     assert!(used(&discovery).is_empty());
 }
 
-// The engine's clock jumped back while it was down, so that its new process seems to have started first. The
-// revisions tell which is the newer one.
+// The engine's clock was set back while it was down, so its new process has the earlier start time.
+// The store's revisions show which process is newer.
 #[test]
 fn clock_back() {
     let mut discovery = Discovery::default();
@@ -72,7 +72,8 @@
     assert_eq!(used(&discovery), [process(START_MS - 2000)]);
 }
 
-// Another writer's entry gives an engine a start that it never had. The engine's own next word holds again.
+// Another writer's entry gives an engine a start time that it never had. The engine's own next
+// entry is used again.
 #[test]
 fn start_of_another_writer() {
     let mut discovery = Discovery::default();
@@ -82,8 +83,8 @@
     assert_eq!(used(&discovery), [process(START_MS)]);
 }
 
-// An engine that tells its starts drains; an entry without a start says that it is ready. The engine did not
-// write that, so there is nothing to use.
+// An engine whose entries carry start times drains; then an entry without a start time says that it
+// is ready. The engine did not write that entry, so no endpoint is used.
 #[test]
 fn start_left_out() {
     let mut discovery = Discovery::default();
@@ -94,8 +95,8 @@
     assert!(used(&discovery).is_empty());
 }
 
-// A VM that just came back to the store is told by a slow answer of an engine that ended in the meantime. The
-// whole reading that another VM passed on was newer and did not list it.
+// A VM that has just reconnected to the store gets a delayed snapshot with an engine that has ended
+// since. A newer snapshot from another VM did not list the engine.
 #[test]
 fn stale_reading() {
     let mut discovery = Discovery::default();
@@ -110,8 +111,8 @@
     assert!(used(&discovery).is_empty());
 }
 
-// The other VM keeps, as lapsed, the entry of a process that this VM has not heard of yet. What this VM uses is
-// the process before it, which is gone.
+// The other VM keeps, as lapsed, the entry of a process that this VM has no entry of yet. This VM
+// uses the previous process, which has ended.
 #[test]
 fn lapse_of_next() {
     let (mut behind, mut ahead) = (Discovery::default(), Discovery::default());
@@ -125,7 +126,7 @@
     assert!(used(&behind).is_empty());
 }
 
-// Counts of a process are not its successor's: requests in flight, failures, an ejection.
+// A process does not inherit its predecessor's requests in flight, failures or ejection.
 #[test]
 fn counts_anew() {
     let mut endpoints = Endpoints::default();
@@ -141,25 +142,27 @@
     assert!(endpoints.rows[0].usable(ms(11)));
 }
 
-/// What happens to the entry, in the order of the store's revisions, and on its way to a VM.
+/// A change of the entry, in the order of the store's revisions, or an event of its delivery to a
+/// VM.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Starts,
     Drains,
     Goes,
-    /// It writes its entry again, as it does when another writer's stands there.
+    /// The engine writes its entry again, as it does when it finds another writer's entry in its
+    /// place.
     Writes,
-    /// Another writer's entry.
+    /// Another writer stores an unusable entry.
     Spoilt,
-    /// From now on the VM hears nothing by itself.
+    /// The VM receives no changes from now on.
     Deaf,
-    /// An earlier word comes once more.
+    /// An earlier change arrives again.
     Again(u8),
     /// The VM reads all entries.
     Reads,
-    /// Another VM, which has followed every change, tells this one.
+    /// The VM gets a snapshot from another VM, which has received every change.
     Told,
-    /// A call on the store fails.
+    /// A call to the store fails.
     Fails,
 }
 
@@ -184,7 +187,7 @@
     }
 }
 
-/// One word of the store.
+/// One change of the entry in the store.
 #[derive(Debug, Clone)]
 enum Word {
     Entry(Registration),
@@ -219,8 +222,8 @@
     discovery.apply_snapshot(now, listed, at, SnapshotSource::Store);
 }
 
-/// The next word of the store, if the step is one: a process drains before it goes or just goes, and starts
-/// only when there is none.
+/// The next change of the store, if the step makes one: a process may drain before it is removed,
+/// and starts only when no other process has an entry.
 fn next_word(step: Step, standing: &mut Option<Registration>, starts: &mut u64) -> Option<Word> {
     match step {
         Step::Starts if standing.is_none() => {
@@ -241,9 +244,9 @@
     standing.clone().map(Word::Entry)
 }
 
-/// Whatever comes late, twice, not at all, by another VM or through an outage: a VM that has heard of a drain
-/// never uses that process again, and once it has read all entries and the time of an outage is over it uses
-/// what the store's last word names, and nothing else.
+/// Changes may arrive late, twice, not at all, through another VM, or during an outage. A VM that
+/// has seen a process drain never uses it again. Once the VM has read all entries and the time of
+/// an outage is over, it uses exactly the endpoint that the store's last change names.
 fn last_word_holds(steps: Vec<Step>) -> bool {
     let (mut vm, mut other) = (Discovery::default(), Discovery::default());
     let (mut words, mut standing, mut starts) = (Vec::<Word>::new(), None, 0);
@@ -271,7 +274,7 @@
             }
             Step::Reads => {
                 read_all(&mut vm, now, &words);
-                // An entry that is gone doesn't say whether its process had drained.
+                // A removed entry does not show whether its process had drained.
                 heard.extend(drained.iter().filter(|id| !used(&vm).contains(id)));
                 deaf = false;
             }
--- a/tests/vm_failures.rs
+++ b/tests/vm_failures.rs
@@ -1,4 +1,4 @@
-//! Batch jobs and at-most-once calls when processes and VMs fail, through real processes.
+//! Batch jobs and at-most-once calls across failures of processes and VMs, with real processes.
 
 use std::collections::HashSet;
 use std::sync::Mutex;
@@ -10,7 +10,7 @@
 
 const PATIENCE: Duration = Duration::from_secs(40);
 
-/// These tests start many processes each: one at a time.
+/// Each test starts many processes, so only one runs at a time.
 static ONE: Mutex<()> = Mutex::new(());
 
 fn plan() -> Plan {
@@ -23,7 +23,7 @@
     }
 }
 
-/// The custom ids of a job's output, checked to be one each.
+/// The custom ids in a job's output; fails if an id has two results.
 fn output_ids(fleet: &Fleet, entry: usize, shown: &Value) -> HashSet<String> {
     let path = format!(
         "/v1/files/{}/content",
@@ -60,8 +60,8 @@
     assert_eq!(output_ids(fleet, entry, &shown).len(), items);
 }
 
-// The caller has the job's id; right after, the whole VM that took it is lost. The record stands in
-// the platform's service, so the other VMs find the job and complete it.
+// A VM is lost right after it returned a job's id. The job's record is in the platform, so the
+// other VMs find and complete the job.
 #[test]
 fn vm_lost() {
     let _one = ONE.lock();
@@ -72,8 +72,8 @@
     completed(&fleet, 1, &job, 150);
 }
 
-// A batch process is killed with items under way. Another VM takes its chunks over once membership
-// has lost it; items without a committed result run again, and each has one result.
+// A batch process is killed with items in flight. Another VM takes its chunks over once membership
+// has dropped it; items without a committed result run again, and each item has one result.
 #[test]
 fn batch_killed() {
     let _one = ONE.lock();
@@ -88,8 +88,8 @@
     completed(&fleet, 0, &job, 300);
 }
 
-// A VM is frozen until its chunks have been taken over, and wakes. It still believes that it owns
-// them and commits: its epoch is old, the record has moved, and nothing of it counts twice.
+// A VM is frozen until its chunks have been taken over, then continues. It still holds its old
+// state and commits, but its epoch is outdated and the record has changed, so no item counts twice.
 #[test]
 fn paused_owner() {
     let _one = ONE.lock();
@@ -104,8 +104,8 @@
     completed(&fleet, 0, &job, 300);
 }
 
-// The platform is away while a job runs, and then loses answers of claims, checkpoints and the
-// job's end after they took effect. The job completes with each item once.
+// The platform is unavailable while a job runs, and then loses the answers to claims, checkpoints
+// and the job's end after they took effect. The job completes with one result per item.
 #[test]
 fn platform_fails() {
     let _one = ONE.lock();
@@ -119,8 +119,8 @@
     completed(&fleet, 0, &job, 300);
 }
 
-// The answer to the job's record is lost, and the client sends the job again, on another VM. It is
-// the same job: it gets the first one's id and runs once.
+// The answer to the write of the job's record is lost, and the client sends the job again to
+// another VM. It is the same job: it gets the same id and runs once.
 #[test]
 fn job_resent() {
     let _one = ONE.lock();
@@ -147,9 +147,9 @@
     assert_eq!(jobs["data"].as_array().unwrap().len(), 1);
 }
 
-// A job is cancelled under way. A second after the acknowledgement nothing new reaches an engine
-// and streams of items have ended; the results that were there can be read; it stays cancelled
-// although a VM is killed right after.
+// A job is cancelled while it runs. One second after the acknowledgement no new item reaches an
+// engine and the streams of its items have ended. Results committed before can be read, and the job
+// stays cancelled although a VM is killed right afterwards.
 #[test]
 fn job_cancelled() {
     let _one = ONE.lock();
@@ -188,8 +188,9 @@
     );
 }
 
-// Items that may not be repeated are under way when the batch process is killed. Whoever takes over
-// finds them marked as started and ends them as "outcome unknown": none reaches the service twice.
+// Items that must not be repeated are in flight when the batch processes are killed. The new owner
+// finds them recorded as started and ends them as "outcome unknown": none reaches the service
+// twice.
 #[test]
 fn orders_once() {
     let _one = ONE.lock();
@@ -239,9 +240,8 @@
     );
 }
 
-// The VM that runs a renewal is killed while the registry works on it, or the registry's answer is
-// lost. The client sends it again to the other VMs: it is told that the outcome is unknown, which
-// is true, and the renewal runs once.
+// The VM that runs a call is killed while the service works on it, or the service's answer is lost.
+// The client sends the call again to the other VMs and gets "outcome unknown"; the call runs once.
 #[test]
 fn renewal_once() {
     let _one = ONE.lock();
@@ -295,9 +295,9 @@
     assert_eq!(executions, wanted);
 }
 
-// Each VM is stopped in order and started again, one after the other, while callers stream and a
-// job runs. Callers follow the balancer, which sends to VMs that say they are ready. No request
-// fails, and the processes say that nothing was cut.
+// Each VM in turn is drained and restarted while callers stream and a job runs. Callers send only
+// to VMs that report ready, as behind a load balancer. No request fails, and each process exits
+// with the code for "nothing was cut".
 #[test]
 fn rolling_restart() {
     let _one = ONE.lock();
@@ -349,7 +349,7 @@
     while !stop.load(std::sync::atomic::Ordering::SeqCst) {
         at += 1;
         let address = addresses[at % addresses.len()];
-        // The balancer's view of a VM is never older than its last check.
+        // A load balancer's health check is always recent here.
         let ready = call(address, "GET", "/readyz", "", &[], b"");
         if !ready.is_ok_and(|answer| answer.status == 200) {
             continue;
@@ -377,9 +377,9 @@
     done
 }
 
-// Every batch process is stopped in order and started again while items that may not be repeated
-// wait with their mark. No byte of them went out, so they are handed over unmarked: all complete,
-// none runs twice and none ends as unknown.
+// Each batch process in turn is drained and restarted while items that must not be repeated wait,
+// already recorded as started. None of their bytes was sent, so they are handed over as not
+// started: all complete, none runs twice and none ends as unknown.
 #[test]
 fn orders_handed_over() {
     let _one = ONE.lock();
--- a/tests/whole_events.rs
+++ b/tests/whole_events.rs
@@ -1,4 +1,4 @@
-//! Streams are cut into whole events.
+//! The stream splitter returns only complete events.
 
 use bramleyseam::serve::events::Splitter;
 use quickcheck::quickcheck;
@@ -20,7 +20,7 @@
 }
 
 quickcheck! {
-    // However the bytes are cut on the way, the same whole events come out, and nothing is lost.
+    // However the bytes are split, the same complete events are returned and none is lost.
     fn any_cut(texts: Vec<u8>, cuts: Vec<u8>) -> bool {
         let stream: String = texts
             .iter()
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes.
+//! Requests and jobs through all processes, each run separately.
 
 use std::io::{BufRead, BufReader};
 use std::time::Duration;
@@ -73,7 +73,7 @@
     }
     assert!(whole);
     assert_eq!(text, expected("deck", 8));
-    // Each token takes a step of its own: were they held back, all would arrive together.
+    // Each token takes one step: if tokens were buffered, they would all arrive together.
     assert!(arrivals[7] - arrivals[0] >= Duration::from_millis(200));
 }
 
