--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,5 +1,5 @@
-//! `bramley-entry`: serves callers, and keeps the membership, the configuration and the endpoint
-//! table.
+//! `bramley-entry`: serves callers, and maintains the membership, the configuration and the
+//! endpoint table.
 
 pub mod counters;
 pub mod feed;
@@ -38,8 +38,8 @@
 use crate::settings::{self, ms};
 use crate::util::lock;
 
-const STOP_LOOK: Duration = Duration::from_millis(20);
-const RETRY_SOON: Duration = Duration::from_secs(1);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why the process could not start.
 #[derive(Debug, Snafu)]
@@ -92,37 +92,40 @@
         head_timeout: ms(node.settings.head_timeout_ms),
         ..Limits::default()
     };
-    let handling = node.clone();
+    let handler_node = node.clone();
     let server = Server::start(callers, limits, move |request, out| {
-        handle(&handling, request, out)
+        handle(&handler_node, request, out)
     })
     .context(ListenSnafu {
         what: "caller_address",
     })?;
     info!(gossip = address.to_string(), callers = server.address.to_string(); "started");
-    Ok(stop(&node, &server, signals))
+    Ok(wait_and_drain(&node, &server, signals))
 }
 
 /// Waits for a signal, then drains: peers are informed, no new work is accepted, requests in flight
 /// end. A second signal ends the wait.
-fn stop(node: &Arc<Node>, server: &Server, mut signals: Signals) -> i32 {
+fn wait_and_drain(node: &Arc<Node>, server: &Server, mut signals: Signals) -> i32 {
     while !node.superseded() && signals.pending().next().is_none() {
-        clock::sleep(STOP_LOOK);
+        clock::sleep(STOP_CHECK_INTERVAL);
     }
     info!("leaving");
-    node.leave();
+    node.start_draining();
     server.drain();
     let limit = clock::now() + ms(node.settings.stop_limit_ms);
     let accept_until = clock::now() + ms(node.settings.drain_ms);
-    let mut hurry = false;
-    while clock::now() < accept_until && !hurry {
-        hurry = signals.pending().next().is_some();
-        clock::sleep(STOP_LOOK);
+    let mut forced = false;
+    while clock::now() < accept_until && !forced {
+        forced = signals.pending().next().is_some();
+        clock::sleep(STOP_CHECK_INTERVAL);
     }
     server.close();
-    while (server.busy() > 0 || lock(&node.links).batch != 0) && !hurry && clock::now() < limit {
-        hurry = signals.pending().next().is_some();
-        clock::sleep(STOP_LOOK);
+    while (server.busy() > 0 || lock(&node.batch_link).owner != 0)
+        && !forced
+        && clock::now() < limit
+    {
+        forced = signals.pending().next().is_some();
+        clock::sleep(STOP_CHECK_INTERVAL);
     }
     match server.busy() {
         0 => {
@@ -139,35 +142,36 @@
 fn handle(node: &Arc<Node>, request: &Request, out: &mut Responder) -> io::Result<()> {
     match request.path() {
         "/healthz" => return out.json(200, &serde_json::json!({ "alive": true })),
-        "/readyz" => return ready(node, out),
+        "/readyz" => return answer_ready(node, out),
         _ => {}
     }
-    let plan = match node.plan() {
-        Some(plan) => plan,
+    let config = match node.config() {
+        Some(config) => config,
         None => {
             let detail = "no configuration is in force here yet";
-            return out.problem(&Problem::not_run(RefusalKind::NotReady, detail).after(RETRY_SOON));
+            return out
+                .problem(&Problem::not_run(RefusalKind::NotReady, detail).after(RETRY_AFTER));
         }
     };
-    let Some(workspace) = plan.workspace_of(request) else {
+    let Some(workspace) = config.workspace_of(request) else {
         return out.problem(&Problem::not_run(
             RefusalKind::Unauthorized,
             "Authorization: Bearer KEY",
         ));
     };
-    let asker = node::Asker {
-        plan: plan.clone(),
+    let caller = node::CallerContext {
+        config: config.clone(),
         workspace,
     };
     let path = request.path();
     match (request.method.as_str(), path) {
         ("POST", "/v1/chat/completions" | "/v1/completions") => {
-            online::handle(node, &asker, request, out)
+            online::handle(node, &caller, request, out)
         }
-        ("GET", "/v1/models") => online::models(&asker, out),
-        (_, _) if path.starts_with("/svc/") => plain::handle(node, &asker, request, out),
-        (_, _) if path.starts_with("/v1/files") => files::handle(node, &asker, request, out),
-        (_, _) if path.starts_with("/v1/batches") => jobs::handle(node, &asker, request, out),
+        ("GET", "/v1/models") => online::models(&caller, out),
+        (_, _) if path.starts_with("/svc/") => plain::handle(node, &caller, request, out),
+        (_, _) if path.starts_with("/v1/files") => files::handle(node, &caller, request, out),
+        (_, _) if path.starts_with("/v1/batches") => jobs::handle(node, &caller, request, out),
         _ => out.problem(&Problem::not_run(
             RefusalKind::NotFound,
             format!("{} {path}", request.method),
@@ -175,9 +179,9 @@
     }
 }
 
-fn ready(node: &Node, out: &mut Responder) -> io::Result<()> {
+fn answer_ready(node: &Node, out: &mut Responder) -> io::Result<()> {
     match node.ready() {
         Ok(()) => out.json(200, &serde_json::json!({ "ready": true })),
-        Err(why) => out.problem(&Problem::not_run(RefusalKind::NotReady, why).after(RETRY_SOON)),
+        Err(why) => out.problem(&Problem::not_run(RefusalKind::NotReady, why).after(RETRY_AFTER)),
     }
 }
--- a/src/entry/counters.rs
+++ b/src/entry/counters.rs
@@ -28,9 +28,9 @@
         let registry = Metrics::default();
         let counters = |name, help, labels: &[&str]| registry.counters(name, help, labels);
         Counters {
-            requests: counters("bramley_requests_total", "Requests by end.", &["end"]),
+            requests: counters("bramley_requests_total", "Requests by outcome.", &["end"]),
             refusals: counters("bramley_refusals_total", "Refusals by reason.", &["reason"]),
-            attempts: registry.counter("bramley_attempts_total", "Tries at endpoints."),
+            attempts: registry.counter("bramley_attempts_total", "Attempts at endpoints."),
             tokens: registry.counter("bramley_stream_events_total", "Events sent to callers."),
             first_token: registry.times(
                 "bramley_first_token_seconds",
@@ -38,19 +38,19 @@
             ),
             intent_writes: registry.counter(
                 "bramley_intent_writes_total",
-                "Writes of intents to the platform.",
+                "Writes of intent pages to the platform.",
             ),
             datagram_bytes: counters(
                 "bramley_datagram_bytes_total",
-                "Bytes of datagrams, headers left out.",
+                "Bytes of datagrams, without headers.",
                 &["direction"],
             ),
-            datagrams_refused: registry.counter(
-                "bramley_datagrams_refused_total",
-                "Datagrams that were not taken.",
+            datagrams_refused: registry
+                .counter("bramley_datagrams_refused_total", "Datagrams rejected."),
+            platform_errors: registry.counter(
+                "bramley_platform_errors_total",
+                "Failed watch calls to the platform.",
             ),
-            platform_errors: registry
-                .counter("bramley_platform_errors_total", "Failed calls of watchers."),
             registry,
         }
     }
--- a/src/entry/feed.rs
+++ b/src/entry/feed.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-use super::node::{Core, Node};
+use super::node::{Node, NodeState};
 use crate::clock;
 use crate::decide::batch::place::{BatchPeers, ServiceWorkers};
 use crate::decide::jobs::JobState;
@@ -14,90 +14,90 @@
 use crate::wire::ToBatch;
 
 /// A job that is due within this time may use more slots of endpoints that serve online requests.
-const URGENT: Duration = Duration::from_secs(60);
+const URGENT_WITHIN: Duration = Duration::from_secs(60);
 
 impl Node {
     /// Sends the number of batch items that each assigned endpoint may run, if any has changed.
-    pub fn push_windows(&self, now: Duration, core: &mut Core) {
-        let Some(plan) = core.plan.clone() else {
+    pub fn push_windows(&self, now: Duration, state: &mut NodeState) {
+        let Some(config) = state.config.clone() else {
             return;
         };
         let now_ms = clock::unix_ms();
-        let urgent_ms = now_ms + URGENT.as_millis() as u64;
-        let urgent = core.jobs.rows.values().any(|(_, record)| {
+        let urgent_ms = now_ms + URGENT_WITHIN.as_millis() as u64;
+        let urgent = state.jobs.rows.values().any(|(_, record)| {
             record.state == JobState::InProgress && record.deadline_ms < urgent_ms
         });
         let mut windows = Vec::new();
-        for row in &core.online.endpoints.rows {
-            if row.declared.domain != core.fleet.card.domain || !row.usable(now) {
+        for row in &state.online.endpoints.rows {
+            if row.declared.domain != state.fleet.card.domain || !row.usable(now) {
                 continue;
             }
-            if core.fleet.assigned_vm(row.id) != Some(core.fleet.card.vm) {
+            if state.fleet.assigned_vm(row.id) != Some(state.fleet.card.vm) {
                 continue;
             }
-            let seen = EndpointLoad {
+            let load = EndpointLoad {
                 slots: row.slots(now),
                 online: row.online(),
-                online_at: core.online_at.get(&row.id).copied(),
+                online_at: state.online_at.get(&row.id).copied(),
                 urgent,
             };
-            let count = window::batch_window(seen, plan.knob(row.declared.service), now);
+            let count = window::batch_window(load, config.batch_weight(row.declared.service), now);
             windows.push((row.id, row.declared.service, count));
         }
-        let mut links = lock(&self.links);
-        if links.windows != windows {
-            links.windows = windows.clone();
-            links.send(ToBatch::Windows(windows));
+        let mut link = lock(&self.batch_link);
+        if link.windows != windows {
+            link.windows = windows.clone();
+            link.send(ToBatch::Windows(windows));
         }
     }
 
     /// Sends which VMs and owners share the batch work, if that has changed.
-    pub fn push_crew(&self, core: &Core) {
-        let card = &core.fleet.card;
-        let mut hands: BTreeMap<ServiceId, ServiceWorkers> = BTreeMap::new();
-        for row in &core.online.endpoints.rows {
+    pub fn push_batch_peers(&self, state: &NodeState) {
+        let status = &state.fleet.card;
+        let mut workers: BTreeMap<ServiceId, ServiceWorkers> = BTreeMap::new();
+        for row in &state.online.endpoints.rows {
             let service = row.declared.service;
-            let of_service = hands.entry(service).or_default();
+            let of_service = workers.entry(service).or_default();
             of_service.service = service;
             of_service.domains.push(row.declared.domain);
-            of_service.vms.extend(core.fleet.assigned_vm(row.id));
+            of_service.vms.extend(state.fleet.assigned_vm(row.id));
         }
-        for of_service in hands.values_mut() {
+        for of_service in workers.values_mut() {
             for ids in [&mut of_service.domains, &mut of_service.vms] {
                 ids.sort_unstable();
                 ids.dedup();
             }
         }
-        let crew = BatchPeers {
-            own: card.vm,
-            own_domain: card.domain,
-            vms: core.fleet.batch_vms().to_vec(),
-            owners: core.fleet.batch_owners(),
-            hands: hands.into_values().collect(),
+        let peers = BatchPeers {
+            own: status.vm,
+            own_domain: status.domain,
+            vms: state.fleet.batch_vms().to_vec(),
+            owners: state.fleet.batch_owners(),
+            hands: workers.into_values().collect(),
         };
-        let mut links = lock(&self.links);
-        if links.crew != crew {
-            links.crew = crew.clone();
-            links.send(ToBatch::Crew(crew));
+        let mut link = lock(&self.batch_link);
+        if link.peers != peers {
+            link.peers = peers.clone();
+            link.send(ToBatch::Crew(peers));
         }
     }
 
     /// Sends all job records that have not ended.
-    pub fn push_jobs(&self, core: &Core) {
-        lock(&self.links).send(ToBatch::Jobs(core.jobs.active()));
+    pub fn push_jobs(&self, state: &NodeState) {
+        lock(&self.batch_link).send(ToBatch::Jobs(state.jobs.active()));
     }
 
     /// Attaches a new connection of the batch process and sends the complete state.
-    pub fn attach(&self, sender: Sender<ToBatch>) {
-        let core = lock(&self.core);
-        let mut links = lock(&self.links);
-        links.to_batch = Some(sender);
-        if let Some(plan) = &core.plan {
-            links.send(ToBatch::Config(Box::new((*plan.versioned).clone())));
+    pub fn attach_batch(&self, sender: Sender<ToBatch>) {
+        let state = lock(&self.state);
+        let mut link = lock(&self.batch_link);
+        link.to_batch = Some(sender);
+        if let Some(config) = &state.config {
+            link.send(ToBatch::Config(Box::new((*config.versioned).clone())));
         }
-        links.send(ToBatch::Jobs(core.jobs.active()));
-        let (crew, windows) = (links.crew.clone(), links.windows.clone());
-        links.send(ToBatch::Crew(crew));
-        links.send(ToBatch::Windows(windows));
+        link.send(ToBatch::Jobs(state.jobs.active()));
+        let (peers, windows) = (link.peers.clone(), link.windows.clone());
+        link.send(ToBatch::Crew(peers));
+        link.send(ToBatch::Windows(windows));
     }
 }
--- a/src/entry/files.rs
+++ b/src/entry/files.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::node::{Asker, Node};
+use super::node::{CallerContext, Node};
 use crate::clock;
 use crate::decide::jobs::{
     chunk_items, file_key, job_key, ChunkRecord, FileRecord, JobRecord, Segment, CHUNK_BYTES_MAX,
@@ -23,33 +23,38 @@
 
 /// Lines allowed in one file; well above the largest expected job.
 pub const LINES_MAX: usize = 2_000_000;
-const RETRY_SOON: Duration = Duration::from_secs(2);
+const RETRY_AFTER: Duration = Duration::from_secs(2);
 /// Distinct models and services of one file that are recorded.
 const TARGETS_MAX: usize = 256;
-const PATIENCE: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Handles calls under `/v1/files`.
 pub fn handle(
     node: &Node,
-    asker: &Asker,
+    caller: &CallerContext,
     request: &Request,
     out: &mut Responder,
 ) -> io::Result<()> {
     let parts: Vec<&str> = request.path().split('/').skip(3).collect();
     match (request.method.as_str(), parts.as_slice()) {
-        ("POST", []) => upload(node, asker, request, out),
-        ("GET", [file]) => describe(node, asker, file, out),
-        ("GET", [file, "content"]) => content(node, asker, file, out),
+        ("POST", []) => upload(node, caller, request, out),
+        ("GET", [file]) => describe(node, caller, file, out),
+        ("GET", [file, "content"]) => send_content(node, caller, file, out),
         _ => out.problem(&Problem::not_run(RefusalKind::NotFound, request.path())),
     }
 }
 
 /// The refusal for a call that fails because the platform is unavailable.
-pub fn away(detail: &str) -> Problem {
-    Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_SOON)
+pub fn platform_unavailable(detail: &str) -> Problem {
+    Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_AFTER)
 }
 
-fn upload(node: &Node, asker: &Asker, request: &Request, out: &mut Responder) -> io::Result<()> {
+fn upload(
+    node: &Node,
+    caller: &CallerContext,
+    request: &Request,
+    out: &mut Responder,
+) -> io::Result<()> {
     let content = match file_part(request) {
         Some(content) => content,
         None => {
@@ -57,13 +62,13 @@
             return out.problem(&Problem::not_run(RefusalKind::BadRequest, detail));
         }
     };
-    match keep(node, asker, &content) {
-        Ok(record) => out.json(200, &shown(&record)),
+    match store_file(node, caller, &content) {
+        Ok(record) => out.json(200, &file_json(&record)),
         Err(problem) => out.problem(&problem),
     }
 }
 
-fn shown(record: &FileRecord) -> serde_json::Value {
+fn file_json(record: &FileRecord) -> serde_json::Value {
     json!({
         "id": record.id,
         "object": "file",
@@ -110,10 +115,10 @@
 }
 
 /// Splits a file into segments of whole lines, one for each chunk of a job.
-pub fn cut(content: &Bytes) -> Vec<(Bytes, u32)> {
+pub fn split_into_segments(content: &Bytes) -> Vec<(Bytes, u32)> {
     let lines = content
         .split(|byte| *byte == b'\n')
-        .filter(|line| !blank(line))
+        .filter(|line| !is_blank(line))
         .count();
     let per_chunk = chunk_items(lines);
     let mut out = Vec::new();
@@ -121,7 +126,7 @@
     let mut count = 0;
     for line in content
         .split(|byte| *byte == b'\n')
-        .filter(|line| !blank(line))
+        .filter(|line| !is_blank(line))
     {
         let full = count as usize == per_chunk || buffer.len() + line.len() > CHUNK_BYTES_MAX;
         if full && count > 0 {
@@ -171,24 +176,24 @@
     found.into_iter().collect()
 }
 
-fn blank(line: &[u8]) -> bool {
+fn is_blank(line: &[u8]) -> bool {
     line.iter().all(u8::is_ascii_whitespace)
 }
 
-fn keep(node: &Node, asker: &Asker, content: &Bytes) -> Result<FileRecord, Problem> {
+fn store_file(node: &Node, caller: &CallerContext, content: &Bytes) -> Result<FileRecord, Problem> {
     if std::str::from_utf8(content).is_err() {
         return Err(Problem::not_run(
             RefusalKind::BadRequest,
             "the file is not UTF-8",
         ));
     }
-    let pieces = cut(content);
+    let pieces = split_into_segments(content);
     let lines: u32 = pieces.iter().map(|(_, lines)| lines).sum();
     if lines == 0 || lines as usize > LINES_MAX {
         let detail = format!("{lines} lines; 1 to {LINES_MAX} are allowed");
         return Err(Problem::not_run(RefusalKind::BadRequest, detail));
     }
-    let scope = format!("{}\n{}", asker.workspace, id::digest(content));
+    let scope = format!("{}\n{}", caller.workspace, id::digest(content));
     let file_id = format!("file-{}", &id::digest(scope.as_bytes())[..32]);
     let inline = content.len() <= INLINE_BYTES;
     let segments: Result<Vec<Segment>, segments::Error> = pieces
@@ -199,11 +204,11 @@
         segments::Error::TooLarge { .. } => {
             Problem::not_run(RefusalKind::TooLarge, error.to_string())
         }
-        _ => away(&error.to_string()),
+        _ => platform_unavailable(&error.to_string()),
     })?;
     let record = FileRecord {
         id: file_id,
-        workspace: asker.workspace.clone(),
+        workspace: caller.workspace.clone(),
         created_ms: clock::unix_ms(),
         bytes: content.len() as u64,
         lines,
@@ -211,44 +216,48 @@
         segments,
     };
     let text = serde_json::to_string(&record).unwrap_or_default();
-    let until = clock::now() + PATIENCE;
+    let until = clock::now() + COMMIT_TIMEOUT;
     match node.platform.commit(&file_key(&record.id), 0, &text, until) {
         Settled::Won(_) => Ok(record),
         // The same content was uploaded before; its first record stays.
         Settled::Lost(Some(entry)) => Ok(serde_json::from_str(&entry.value).unwrap_or(record)),
-        Settled::Lost(None) | Settled::Away => Err(away("the file was not taken")),
+        Settled::Lost(None) | Settled::Away => Err(platform_unavailable("the file was not taken")),
         // Uploading it again is harmless: the id is derived from the content.
         Settled::Unknown => Err(Problem {
             not_run: false,
-            ..away("it is not known whether it was taken")
+            ..platform_unavailable("it is not known whether it was taken")
         }),
     }
 }
 
 /// Reads the record of an input file of the caller's workspace.
-pub fn read_file(node: &Node, asker: &Asker, file: &str) -> Result<FileRecord, Problem> {
+pub fn read_file(node: &Node, caller: &CallerContext, file: &str) -> Result<FileRecord, Problem> {
     let entry = node
         .platform
         .get(&file_key(file))
-        .map_err(|error| away(&error.to_string()))?;
+        .map_err(|error| platform_unavailable(&error.to_string()))?;
     let record = entry.and_then(|e| serde_json::from_str::<FileRecord>(&e.value).ok());
     record
-        .filter(|record| record.workspace == asker.workspace)
+        .filter(|record| record.workspace == caller.workspace)
         .ok_or_else(|| Problem::not_run(RefusalKind::NotFound, format!("file {file:?}")))
 }
 
 /// Reads a job's record and its revision.
-pub fn read_job(node: &Node, asker: &Asker, job: &str) -> Result<(u64, JobRecord), Problem> {
+pub fn read_job(
+    node: &Node,
+    caller: &CallerContext,
+    job: &str,
+) -> Result<(u64, JobRecord), Problem> {
     let entry = node
         .platform
         .get(&job_key(job))
-        .map_err(|error| away(&error.to_string()))?;
+        .map_err(|error| platform_unavailable(&error.to_string()))?;
     let found = entry.and_then(|entry| {
         let record = serde_json::from_str::<JobRecord>(&entry.value).ok()?;
         Some((entry.revision, record))
     });
     found
-        .filter(|(_, record)| record.workspace == asker.workspace)
+        .filter(|(_, record)| record.workspace == caller.workspace)
         .ok_or_else(|| Problem::not_run(RefusalKind::NotFound, format!("batch {job:?}")))
 }
 
@@ -257,15 +266,20 @@
     let entries = node
         .platform
         .list(&format!("chunk/{job}/"))
-        .map_err(|error| away(&error.to_string()))?;
+        .map_err(|error| platform_unavailable(&error.to_string()))?;
     Ok(entries
         .iter()
         .filter_map(|entry| serde_json::from_str(&entry.value).ok())
         .collect())
 }
 
-fn describe(node: &Node, asker: &Asker, file: &str, out: &mut Responder) -> io::Result<()> {
-    match segments_of(node, asker, file) {
+fn describe(
+    node: &Node,
+    caller: &CallerContext,
+    file: &str,
+    out: &mut Responder,
+) -> io::Result<()> {
+    match segments_of(node, caller, file) {
         Ok(segments) => {
             let bytes: u64 = segments.iter().map(|segment| segment.bytes).sum();
             out.json(
@@ -278,13 +292,13 @@
 }
 
 /// The segments of a file: an input file, or the output or error file of a job.
-fn segments_of(node: &Node, asker: &Asker, file: &str) -> Result<Vec<Segment>, Problem> {
+fn segments_of(node: &Node, caller: &CallerContext, file: &str) -> Result<Vec<Segment>, Problem> {
     let (job, errors) = match (file.strip_prefix("out-"), file.strip_prefix("err-")) {
         (Some(job), _) => (job, false),
         (_, Some(job)) => (job, true),
-        _ => return Ok(read_file(node, asker, file)?.segments),
+        _ => return Ok(read_file(node, caller, file)?.segments),
     };
-    read_job(node, asker, job)?;
+    read_job(node, caller, job)?;
     let chunks = read_chunks(node, job)?;
     let results = chunks.into_iter().flat_map(|chunk| chunk.segments);
     Ok(results
@@ -294,8 +308,13 @@
 }
 
 /// Streams a file; at most one segment is held in memory.
-fn content(node: &Node, asker: &Asker, file: &str, out: &mut Responder) -> io::Result<()> {
-    let segments = match segments_of(node, asker, file) {
+fn send_content(
+    node: &Node,
+    caller: &CallerContext,
+    file: &str,
+    out: &mut Responder,
+) -> io::Result<()> {
+    let segments = match segments_of(node, caller, file) {
         Ok(segments) => segments,
         Err(problem) => return out.problem(&problem),
     };
@@ -306,7 +325,7 @@
         .transpose();
     let first = match first {
         Ok(first) => first.unwrap_or_default(),
-        Err(error) => return out.problem(&away(&error.to_string())),
+        Err(error) => return out.problem(&platform_unavailable(&error.to_string())),
     };
     out.start(&Head::new(200, "application/jsonl"))?;
     out.chunk(&first)?;
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -10,17 +10,17 @@
 
 use log::debug;
 
-use super::node::{Errand, Node};
+use super::node::{BackgroundTask, Node};
 use super::{intent, watch};
 use crate::clock;
 use crate::peer;
 use crate::util::lock;
 use crate::wire::{Datagram, PeerAsk, PeerReply, DATAGRAM_BYTES};
 
-const TICK: Duration = Duration::from_millis(20);
-const RUNNERS: usize = 6;
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+const TASK_THREADS: usize = 6;
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
-const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
+const RECEIVE_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Starts the threads.
 pub fn start(node: &Arc<Node>) -> io::Result<()> {
@@ -28,22 +28,22 @@
     thread::Builder::new()
         .name("tick".into())
         .spawn(move || loop {
-            clock::sleep(TICK);
+            clock::sleep(TICK_INTERVAL);
             ticking.tick();
         })?;
     let receiving = node.clone();
     thread::Builder::new()
         .name("gossip".into())
         .spawn(move || receive(&receiving))?;
-    let Some(errands) = node.take_errands() else {
+    let Some(tasks) = node.take_task_receiver() else {
         return Ok(());
     };
-    let errands = Arc::new(Mutex::new(errands));
-    for _ in 0..RUNNERS {
-        let (node, errands) = (node.clone(), errands.clone());
+    let tasks = Arc::new(Mutex::new(tasks));
+    for _ in 0..TASK_THREADS {
+        let (node, tasks) = (node.clone(), tasks.clone());
         thread::Builder::new()
             .name("errands".into())
-            .spawn(move || run_errands(&node, &errands))?;
+            .spawn(move || run_tasks(&node, &tasks))?;
     }
     Ok(())
 }
@@ -53,7 +53,7 @@
     let mut buffer = [0; DATAGRAM_BYTES + 1];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else {
-            clock::sleep(RECEIVE_PAUSE);
+            clock::sleep(RECEIVE_RETRY_INTERVAL);
             continue;
         };
         node.counters
@@ -61,66 +61,67 @@
             .with_label_values(&["in"])
             .inc_by(length as u64);
         match node.key.open::<Datagram>(&buffer[..length]) {
-            Ok(message) => take(node, message),
+            Ok(message) => handle_datagram(node, message),
             Err(error) => {
                 node.counters.datagrams_refused.inc();
-                debug!("datagram refused: {error}");
+                debug!("datagram rejected: {error}");
             }
         }
     }
 }
 
-fn take(node: &Node, message: Datagram) {
+fn handle_datagram(node: &Node, message: Datagram) {
     match message {
-        Datagram::Pressure { endpoint, .. } => node.pressed(endpoint),
+        Datagram::Pressure { endpoint, .. } => node.apply_pressure(endpoint),
         Datagram::Heartbeat(heartbeat) => {
-            let mut core = lock(&node.core);
-            let core = &mut *core;
+            let mut state = lock(&node.state);
+            let state = &mut *state;
             let mut out = Vec::new();
             let now = clock::now();
-            core.fleet
-                .apply_heartbeat(now, heartbeat, &mut core.online.endpoints, &mut out);
-            node.run_fleet(core, out);
+            state
+                .fleet
+                .apply_heartbeat(now, heartbeat, &mut state.online.endpoints, &mut out);
+            node.run_fleet_actions(state, out);
         }
     }
 }
 
-fn run_errands(node: &Arc<Node>, errands: &Mutex<Receiver<Errand>>) {
+fn run_tasks(node: &Arc<Node>, tasks: &Mutex<Receiver<BackgroundTask>>) {
     loop {
-        let Ok(errand) = lock(errands).recv() else {
+        let Ok(task) = lock(tasks).recv() else {
             return;
         };
-        match errand {
-            Errand::FetchConfig { from } => {
-                let ask = PeerAsk::Config {
-                    have: node.version(),
+        match task {
+            BackgroundTask::FetchConfig { from } => {
+                let request = PeerAsk::Config {
+                    have: node.config_version(),
                 };
-                let reply = peer::call(from, &node.key, &ask, PEER_TIMEOUT);
+                let reply = peer::call(from, &node.key, &request, PEER_TIMEOUT);
                 if let Ok(PeerReply::Config(Some(versioned))) = reply {
-                    node.adopt(*versioned);
+                    node.apply_config(*versioned);
                 }
             }
-            Errand::FetchJobs { from } => {
-                let after = lock(&node.core).jobs.revision;
+            BackgroundTask::FetchJobs { from } => {
+                let after = lock(&node.state).jobs.revision;
                 let reply = peer::call(from, &node.key, &PeerAsk::Jobs { after }, PEER_TIMEOUT);
                 if let Ok(PeerReply::Jobs { revision, records }) = reply {
-                    watch::take_jobs(node, after, revision, records);
+                    watch::apply_job_records(node, after, revision, records);
                 }
             }
-            Errand::Poll { endpoint, address } => {
+            BackgroundTask::Poll { endpoint, address } => {
                 if let Ok(report) = node.engines.load(&address) {
-                    let mut core = lock(&node.core);
-                    let core = &mut *core;
+                    let mut state = lock(&node.state);
+                    let state = &mut *state;
                     let now = clock::now();
-                    core.fleet.apply_endpoint_report(
+                    state.fleet.apply_endpoint_report(
                         now,
                         endpoint,
                         report,
-                        &mut core.online.endpoints,
+                        &mut state.online.endpoints,
                     );
                 }
             }
-            Errand::Cancel { address, attempt } => node.engines.cancel(&address, &attempt),
+            BackgroundTask::Cancel { address, attempt } => node.engines.cancel(&address, &attempt),
         }
     }
 }
@@ -129,32 +130,32 @@
 pub fn serve_peers(node: &Arc<Node>, listener: TcpListener) -> io::Result<()> {
     let node = node.clone();
     let key = node.key.clone();
-    peer::serve(listener, key, move |ask| answer(&node, ask))
+    peer::serve(listener, key, move |request| answer(&node, request))
 }
 
-fn answer(node: &Node, ask: PeerAsk) -> PeerReply {
-    match ask {
+fn answer(node: &Node, request: PeerAsk) -> PeerReply {
+    match request {
         PeerAsk::Config { have } => {
-            let plan = node
-                .plan()
-                .filter(|plan| plan.versioned.head.version > have);
-            PeerReply::Config(plan.map(|plan| Box::new((*plan.versioned).clone())))
+            let config = node
+                .config()
+                .filter(|config| config.versioned.head.version > have);
+            PeerReply::Config(config.map(|config| Box::new((*config.versioned).clone())))
         }
         PeerAsk::Jobs { after } => {
-            let core = lock(&node.core);
-            let rows = core
+            let state = lock(&node.state);
+            let rows = state
                 .jobs
                 .rows
                 .values()
                 .filter(|(revision, _)| *revision > after);
             PeerReply::Jobs {
-                revision: core.jobs.revision,
+                revision: state.jobs.revision,
                 records: rows.cloned().collect(),
             }
         }
-        PeerAsk::Intent { key, ask } => PeerReply::Intent(intent::ask_here(node, key, ask)),
+        PeerAsk::Intent { key, ask } => PeerReply::Intent(intent::ask_local(node, key, ask)),
         PeerAsk::Put { .. } | PeerAsk::Get { .. } | PeerAsk::Has { .. } => {
-            PeerReply::Refused("this process keeps no content".into())
+            PeerReply::Refused("this process stores no content".into())
         }
     }
 }
--- a/src/entry/intent.rs
+++ b/src/entry/intent.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::node::Node;
-use super::question::Question;
+use super::question::RangeRequest;
 use crate::clock;
 use crate::decide::intents::{
     page_key, range_of, range_prefix, Action, IntentKey, IntentPage, IntentRequest, IntentVerdict,
@@ -20,8 +20,8 @@
 use crate::util::{self, lock};
 use crate::wire::{PeerAsk, PeerReply};
 
-const TICK: Duration = Duration::from_millis(10);
-const PATIENCE: Duration = Duration::from_secs(4);
+const TICK_INTERVAL: Duration = Duration::from_millis(10);
+const DECISION_TIMEOUT: Duration = Duration::from_secs(4);
 const PEER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts one thread per range.
@@ -35,39 +35,41 @@
             .name("intents".into())
             .spawn(move || run(&node, range, &receiver))?;
     }
-    let _ = node.ranges.set(senders);
+    let _ = node.intent_ranges.set(senders);
     Ok(())
 }
 
 /// Sends a request to the VM that owns the key's range, or decides it here if that VM is
 /// unreachable. Any VM may write to the range: the numbered slots of the log decide conflicts, so a
 /// second writer costs only time.
-pub fn ask(node: &Node, key: IntentKey, ask: IntentRequest) -> IntentVerdict {
+pub fn ask(node: &Node, key: IntentKey, request: IntentRequest) -> IntentVerdict {
     let owner = owner(node, range_of(&key));
     if let Some(address) = owner {
-        let question = PeerAsk::Intent {
+        let peer_ask = PeerAsk::Intent {
             key: key.clone(),
-            ask: ask.clone(),
+            ask: request.clone(),
         };
-        let reply = peer::call(address, &node.key, &question, PEER_TIMEOUT);
+        let reply = peer::call(address, &node.key, &peer_ask, PEER_TIMEOUT);
         if let Ok(PeerReply::Intent(verdict)) = reply {
             return verdict;
         }
         // The owner may have recorded "begun" for this request before its reply was lost. Deciding
         // here reads that page and returns "begun", the most that can be known.
     }
-    ask_here(node, key, ask)
+    ask_local(node, key, request)
 }
 
 fn owner(node: &Node, range: u64) -> Option<std::net::SocketAddr> {
-    let core = lock(&node.core);
-    let card = &core.fleet.card;
-    let ranked: Vec<VmId> = core
-        .fleet
-        .members
-        .ranked_for(clock::now(), card, card.domain, range);
+    let state = lock(&node.state);
+    let status = &state.fleet.card;
+    let ranked: Vec<VmId> =
+        state
+            .fleet
+            .members
+            .ranked_for(clock::now(), status, status.domain, range);
     let first = ranked.first()?;
-    core.fleet
+    state
+        .fleet
         .members
         .rows
         .get(first)
@@ -75,68 +77,80 @@
 }
 
 /// Decides a request on the local thread of its range.
-pub fn ask_here(node: &Node, key: IntentKey, ask: IntentRequest) -> IntentVerdict {
+pub fn ask_local(node: &Node, key: IntentKey, request: IntentRequest) -> IntentVerdict {
     let (answer, verdict) = mpsc::channel();
-    let Some(ranges) = node.ranges.get() else {
+    let Some(ranges) = node.intent_ranges.get() else {
         return IntentVerdict::Away;
     };
     let range = &ranges[range_of(&key) as usize];
-    if range.send(Question { key, ask, answer }).is_err() {
+    if range
+        .send(RangeRequest {
+            key,
+            request,
+            reply: answer,
+        })
+        .is_err()
+    {
         return IntentVerdict::Away;
     }
     verdict
-        .recv_timeout(PATIENCE)
+        .recv_timeout(DECISION_TIMEOUT)
         .unwrap_or(IntentVerdict::Away)
 }
 
-struct Host<'a> {
+struct RangeRunner<'a> {
     node: &'a Node,
     number: u64,
     range: Range,
-    askers: HashMap<WaiterId, Sender<IntentVerdict>>,
-    next_ticket: WaiterId,
+    waiters: HashMap<WaiterId, Sender<IntentVerdict>>,
+    next_waiter: WaiterId,
 }
 
-fn run(node: &Node, number: u64, events: &Receiver<Question>) {
+fn run(node: &Node, number: u64, events: &Receiver<RangeRequest>) {
     let range = Range::new(util::nonce());
-    let mut host = Host {
+    let mut runner = RangeRunner {
         node,
         number,
         range,
-        askers: HashMap::new(),
-        next_ticket: 0,
+        waiters: HashMap::new(),
+        next_waiter: 0,
     };
     loop {
         let mut out = Vec::new();
-        match events.recv_timeout(TICK) {
-            Ok(event) => host.take(event, &mut out),
+        match events.recv_timeout(TICK_INTERVAL) {
+            Ok(incoming) => runner.submit(incoming, &mut out),
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         // All requests that have arrived meanwhile share the next page.
-        while let Ok(event) = events.try_recv() {
-            host.take(event, &mut out);
+        while let Ok(incoming) = events.try_recv() {
+            runner.submit(incoming, &mut out);
         }
-        host.range.tick(clock::now(), &mut out);
-        host.carry_out(out);
+        runner.range.tick(clock::now(), &mut out);
+        runner.run_actions(out);
     }
 }
 
-impl Host<'_> {
-    fn take(&mut self, event: Question, out: &mut Vec<Action>) {
-        self.next_ticket += 1;
-        self.askers.insert(self.next_ticket, event.answer);
-        self.range
-            .ask(clock::now(), self.next_ticket, event.key, event.ask, out);
+impl RangeRunner<'_> {
+    fn submit(&mut self, incoming: RangeRequest, out: &mut Vec<Action>) {
+        self.next_waiter += 1;
+        self.waiters.insert(self.next_waiter, incoming.reply);
+        self.range.ask(
+            clock::now(),
+            self.next_waiter,
+            incoming.key,
+            incoming.request,
+            out,
+        );
     }
 
-    fn carry_out(&mut self, mut actions: Vec<Action>) {
+    fn run_actions(&mut self, mut actions: Vec<Action>) {
         while let Some(action) = actions.pop() {
             let mut out = Vec::new();
             match action {
                 Action::Tell { ticket, verdict } => {
-                    if let Some(asker) = self.askers.remove(&ticket) {
-                        let _ = asker.send(verdict);
+                    if let Some(waiter) = self.waiters.remove(&ticket) {
+                        let _ = waiter.send(verdict);
                     }
                 }
                 Action::List { from } => {
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -8,8 +8,8 @@
 use serde::Deserialize;
 use serde_json::{json, Value};
 
-use super::files::{away, read_chunks, read_file, read_job};
-use super::node::{Asker, Node};
+use super::files::{platform_unavailable, read_chunks, read_file, read_job};
+use super::node::{CallerContext, Node};
 use crate::clock;
 use crate::decide::jobs::{job_key, ItemCounts, JobRecord, JobState};
 use crate::http::problem::{Problem, RefusalKind};
@@ -19,14 +19,14 @@
 use crate::platform::Settled;
 use crate::util::{self, lock};
 
-const PATIENCE: Duration = Duration::from_secs(3);
-const WINDOW_DEFAULT_H: u64 = 24;
-const WINDOW_MAX_H: u64 = 24 * 14;
-const CANCEL_TRIES: u32 = 5;
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
+const WINDOW_DEFAULT_HOURS: u64 = 24;
+const WINDOW_HOURS_MAX: u64 = 24 * 14;
+const CANCEL_ATTEMPTS_MAX: u32 = 5;
 
 /// Body of a request that creates a job.
 #[derive(Deserialize)]
-struct Asked {
+struct CreateRequest {
     input_file_id: String,
     endpoint: String,
     /// Duration such as `24h`, `30m` or `10s`.
@@ -40,16 +40,16 @@
 /// Handles calls under `/v1/batches`.
 pub fn handle(
     node: &Node,
-    asker: &Asker,
+    caller: &CallerContext,
     request: &Request,
     out: &mut Responder,
 ) -> io::Result<()> {
     let parts: Vec<&str> = request.path().split('/').skip(3).collect();
     let answer = match (request.method.as_str(), parts.as_slice()) {
-        ("POST", []) => create(node, asker, request),
-        ("GET", []) => list(node, asker),
-        ("GET", [job]) => show(node, asker, job),
-        ("POST", [job, "cancel"]) => cancel(node, asker, job),
+        ("POST", []) => create(node, caller, request),
+        ("GET", []) => list(node, caller),
+        ("GET", [job]) => show(node, caller, job),
+        ("POST", [job, "cancel"]) => cancel(node, caller, job),
         _ => Err(Problem::not_run(RefusalKind::NotFound, request.path())),
     };
     match answer {
@@ -66,46 +66,47 @@
 
 type Answer = Result<(Value, bool), Problem>;
 
-fn window(text: Option<&str>) -> Result<Duration, Problem> {
+fn parse_window(text: Option<&str>) -> Result<Duration, Problem> {
     let Some(text) = text else {
-        return Ok(Duration::from_secs(WINDOW_DEFAULT_H * 3600));
+        return Ok(Duration::from_secs(WINDOW_DEFAULT_HOURS * 3600));
     };
     let parsed = humantime::parse_duration(text).ok();
     parsed
-        .filter(|w| !w.is_zero() && w.as_secs() <= WINDOW_MAX_H * 3600)
+        .filter(|w| !w.is_zero() && w.as_secs() <= WINDOW_HOURS_MAX * 3600)
         .ok_or_else(|| {
-            let detail = format!("completion_window {text:?}; 1s to {WINDOW_MAX_H}h are allowed");
+            let detail =
+                format!("completion_window {text:?}; 1s to {WINDOW_HOURS_MAX}h are allowed");
             Problem::not_run(RefusalKind::BadRequest, detail)
         })
 }
 
-fn create(node: &Node, asker: &Asker, request: &Request) -> Answer {
-    let asked: Asked = serde_json::from_slice(&request.body)
+fn create(node: &Node, caller: &CallerContext, request: &Request) -> Answer {
+    let body: CreateRequest = serde_json::from_slice(&request.body)
         .map_err(|error| Problem::not_run(RefusalKind::BadRequest, format!("body: {error}")))?;
-    let window = window(asked.completion_window.as_deref())?;
-    let known = asked.endpoint.starts_with("/svc/")
-        || ["/v1/chat/completions", "/v1/completions"].contains(&asked.endpoint.as_str());
-    if !known {
+    let window = parse_window(body.completion_window.as_deref())?;
+    let is_supported = body.endpoint.starts_with("/svc/")
+        || ["/v1/chat/completions", "/v1/completions"].contains(&body.endpoint.as_str());
+    if !is_supported {
         let detail = format!(
             "endpoint {:?}; /v1/chat/completions, /v1/completions and /svc/... are allowed",
-            asked.endpoint
+            body.endpoint
         );
         return Err(Problem::not_run(RefusalKind::BadRequest, detail));
     }
-    let file = read_file(node, asker, &asked.input_file_id)?;
+    let file = read_file(node, caller, &body.input_file_id)?;
     // Without a key, the same file and endpoint make the same job.
     let identity = match request.header("Idempotency-Key") {
-        Some(key) => format!("{}\nkey\n{key}", asker.workspace),
+        Some(key) => format!("{}\nkey\n{key}", caller.workspace),
         None => format!(
             "{}\ncontent\n{}\n{}",
-            asker.workspace, file.id, asked.endpoint
+            caller.workspace, file.id, body.endpoint
         ),
     };
     let now_ms = clock::unix_ms();
     let record = JobRecord {
         id: format!("batch_{}", &id::digest(identity.as_bytes())[..32]).into(),
-        workspace: asker.workspace.clone(),
-        endpoint: asked.endpoint,
+        workspace: caller.workspace.clone(),
+        endpoint: body.endpoint,
         file: file.id,
         targets: file.targets,
         chunks: file.segments.len() as u32,
@@ -120,44 +121,50 @@
         nonce: util::nonce(),
     };
     let text = serde_json::to_string(&record).unwrap_or_default();
-    let settled = node
-        .platform
-        .commit(&job_key(&record.id), 0, &text, clock::now() + PATIENCE);
+    let settled = node.platform.commit(
+        &job_key(&record.id),
+        0,
+        &text,
+        clock::now() + COMMIT_TIMEOUT,
+    );
     match settled {
         Settled::Won(revision) => {
             info!(job = &*record.id, workspace = &*record.workspace; "job accepted");
-            learn(node, revision, &record);
-            Ok((shown(&record), false))
+            push_job(node, revision, &record);
+            Ok((job_json(&record), false))
         }
         Settled::Lost(Some(entry)) => {
-            let first: JobRecord = serde_json::from_str(&entry.value)
-                .map_err(|error| away(&format!("the first job's record: {error}")))?;
+            let first: JobRecord = serde_json::from_str(&entry.value).map_err(|error| {
+                platform_unavailable(&format!("the first job's record: {error}"))
+            })?;
             if first.file != record.file || first.endpoint != record.endpoint {
                 let detail = "this Idempotency-Key was used for another job";
                 return Err(Problem::not_run(RefusalKind::Conflict, detail));
             }
-            Ok((shown(&first), true))
+            Ok((job_json(&first), true))
+        }
+        Settled::Lost(None) | Settled::Away => {
+            Err(platform_unavailable("the job was not accepted"))
         }
-        Settled::Lost(None) | Settled::Away => Err(away("the job was not accepted")),
         Settled::Unknown => {
             let detail = "it is not known whether the job was accepted; send it again";
             Err(Problem {
                 not_run: false,
-                ..away(detail)
+                ..platform_unavailable(detail)
             })
         }
     }
 }
 
 /// Passes a job to this VM's batch process at once; other VMs learn of it from their watches.
-fn learn(node: &Node, revision: u64, record: &JobRecord) {
-    let mut core = lock(&node.core);
-    core.jobs.take(revision, record.clone());
-    node.push_jobs(&core);
+fn push_job(node: &Node, revision: u64, record: &JobRecord) {
+    let mut state = lock(&node.state);
+    state.jobs.insert_newer(revision, record.clone());
+    node.push_jobs(&state);
 }
 
 /// A job as the API shows it.
-pub fn shown(record: &JobRecord) -> Value {
+pub fn job_json(record: &JobRecord) -> Value {
     let state: &'static str = record.state.into();
     let ended_s = record.ended_ms.map(|at| at / 1000);
     let at = |wanted: JobState| ended_s.filter(|_| record.state == wanted);
@@ -178,24 +185,24 @@
     })
 }
 
-fn list(node: &Node, asker: &Asker) -> Answer {
+fn list(node: &Node, caller: &CallerContext) -> Answer {
     let entries = node
         .platform
         .list("live/job/")
-        .map_err(|error| away(&error.to_string()))?;
+        .map_err(|error| platform_unavailable(&error.to_string()))?;
     let records = entries
         .iter()
         .filter_map(|entry| serde_json::from_str::<JobRecord>(&entry.value).ok());
-    let own = records.filter(|record| record.workspace == asker.workspace);
-    let rows: Vec<Value> = own.map(|record| shown(&record)).collect();
+    let visible = records.filter(|record| record.workspace == caller.workspace);
+    let rows: Vec<Value> = visible.map(|record| job_json(&record)).collect();
     Ok((
         json!({ "object": "list", "data": rows, "has_more": false }),
         false,
     ))
 }
 
-fn show(node: &Node, asker: &Asker, job: &str) -> Answer {
-    let (_, mut record) = read_job(node, asker, job)?;
+fn show(node: &Node, caller: &CallerContext, job: &str) -> Answer {
+    let (_, mut record) = read_job(node, caller, job)?;
     if !record.state.ended() {
         // Adds what the chunks have committed so far.
         for chunk in read_chunks(node, job)? {
@@ -203,16 +210,16 @@
             record.counts.failed += chunk.counts.failed;
         }
     }
-    Ok((shown(&record), false))
+    Ok((job_json(&record), false))
 }
 
-fn cancel(node: &Node, asker: &Asker, job: &str) -> Answer {
-    let until = clock::now() + PATIENCE;
-    for _ in 0..CANCEL_TRIES {
-        let (revision, record) = read_job(node, asker, job)?;
+fn cancel(node: &Node, caller: &CallerContext, job: &str) -> Answer {
+    let until = clock::now() + COMMIT_TIMEOUT;
+    for _ in 0..CANCEL_ATTEMPTS_MAX {
+        let (revision, record) = read_job(node, caller, job)?;
         let Some(cancelled) = record.cancel(util::nonce()) else {
             if record.state == JobState::Cancelling || record.state == JobState::Cancelled {
-                return Ok((shown(&record), true));
+                return Ok((job_json(&record), true));
             }
             let detail = "the job has ended";
             return Err(Problem {
@@ -223,24 +230,24 @@
         let text = serde_json::to_string(&cancelled).unwrap_or_default();
         match node.platform.commit(&job_key(job), revision, &text, until) {
             Settled::Won(revision) => {
-                info!(job = job, workspace = &*asker.workspace; "job cancelled");
-                learn(node, revision, &cancelled);
-                return Ok((shown(&cancelled), false));
+                info!(job = job, workspace = &*caller.workspace; "job cancelled");
+                push_job(node, revision, &cancelled);
+                return Ok((job_json(&cancelled), false));
             }
             // The job ended or was cancelled in the meantime: read it again.
             Settled::Lost(_) => {}
-            Settled::Away => return Err(away("the job was not cancelled")),
+            Settled::Away => return Err(platform_unavailable("the job was not cancelled")),
             Settled::Unknown => {
                 let detail = "it is not known whether the job was cancelled; ask again";
                 return Err(Problem {
                     not_run: false,
-                    ..away(detail)
+                    ..platform_unavailable(detail)
                 });
             }
         }
     }
     Err(Problem {
         not_run: false,
-        ..away("the job changes too fast; ask again")
+        ..platform_unavailable("the job changes too fast; ask again")
     })
 }
--- a/src/entry/local.rs
+++ b/src/entry/local.rs
@@ -14,23 +14,23 @@
 use crate::util::lock;
 use crate::wire::{self, read_frame, write_frame, ToBatch, ToEntry};
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Accepts connections, one at a time.
 pub fn serve(node: &Arc<Node>, listener: TcpListener) -> io::Result<()> {
     let node = node.clone();
     let accept = move || loop {
         let Ok((stream, _)) = listener.accept() else {
-            clock::sleep(ACCEPT_PAUSE);
+            clock::sleep(ACCEPT_RETRY_INTERVAL);
             continue;
         };
         if let Err(error) = run_link(&node, stream) {
             warn!("link to the batch process ended: {error}");
         }
-        let mut links = lock(&node.links);
-        links.to_batch = None;
-        links.batch = 0;
-        drop(links);
+        let mut link = lock(&node.batch_link);
+        link.to_batch = None;
+        link.owner = 0;
+        drop(link);
     };
     thread::Builder::new().name("local".into()).spawn(accept)?;
     Ok(())
@@ -41,7 +41,7 @@
     stream.set_nodelay(true).map_err(io_error)?;
     let writing = stream.try_clone().map_err(io_error)?;
     let (sender, receiver) = mpsc::channel();
-    node.attach(sender);
+    node.attach_batch(sender);
     info!("batch process linked");
     let writer = node.clone();
     thread::Builder::new()
@@ -51,7 +51,7 @@
     let mut reading = stream;
     loop {
         match read_frame::<ToEntry>(&mut reading, &node.key)? {
-            ToEntry::Ready(batch) => lock(&node.links).batch = batch,
+            ToEntry::Ready(batch) => lock(&node.batch_link).owner = batch,
         }
     }
 }
--- a/src/entry/node.rs
+++ b/src/entry/node.rs
@@ -11,10 +11,10 @@
 use log::{info, warn};
 
 use super::counters::Counters;
-use super::links::Links;
+use super::links::BatchLink;
 use super::plan::Plan;
-use super::question::Question;
-use super::table::Jobs;
+use super::question::RangeRequest;
+use super::table::JobTable;
 use crate::clock;
 use crate::config::Versioned;
 use crate::decide::fleet::{self, Fleet};
@@ -30,26 +30,26 @@
 
 /// The workspace of a caller, and the configuration under which its request is handled.
 #[derive(Clone)]
-pub struct Asker {
-    pub plan: Arc<Plan>,
+pub struct CallerContext {
+    pub config: Arc<Plan>,
     pub workspace: Name,
 }
 
 /// The state that the decision functions work on, behind one lock.
-pub struct Core {
+pub struct NodeState {
     pub online: Online,
     pub fleet: Fleet,
-    pub plan: Option<Arc<Plan>>,
-    pub jobs: Jobs,
+    pub config: Option<Arc<Plan>>,
+    pub jobs: JobTable,
     /// When an online request was last in flight at each endpoint.
     pub online_at: HashMap<EndpointId, Duration>,
     /// Where the handler of each open online request receives its actions.
-    callers: HashMap<RequestId, Sender<Action>>,
+    action_senders: HashMap<RequestId, Sender<Action>>,
 }
 
 /// Tasks that may block, run by the background threads.
 #[derive(Debug)]
-pub enum Errand {
+pub enum BackgroundTask {
     FetchConfig { from: SocketAddr },
     FetchJobs { from: SocketAddr },
     Poll { endpoint: EndpointId, address: Name },
@@ -63,25 +63,25 @@
     pub platform: Platform,
     pub engines: Engines,
     pub segments: Segments,
-    pub core: Mutex<Core>,
-    pub links: Mutex<Links>,
+    pub state: Mutex<NodeState>,
+    pub batch_link: Mutex<BatchLink>,
     pub counters: Counters,
-    pub errands: Sender<Errand>,
-    errands_out: Mutex<Option<Receiver<Errand>>>,
-    pub ranges: OnceLock<Vec<Sender<Question>>>,
+    pub tasks: Sender<BackgroundTask>,
+    task_receiver: Mutex<Option<Receiver<BackgroundTask>>>,
+    pub intent_ranges: OnceLock<Vec<Sender<RangeRequest>>>,
     gossip: OnceLock<UdpSocket>,
     next_request: AtomicU64,
-    leaving: AtomicBool,
+    draining: AtomicBool,
     superseded: AtomicBool,
-    /// Whether the newest configuration was requested from the platform or from the peers since the
-    /// start.
+    /// Set once this VM has read the latest state from the platform or, if that is unavailable, has
+    /// waited for its peers' versions.
     pub caught_up: AtomicBool,
 }
 
 impl Node {
     /// Creates the state of a process; opens no sockets and starts no threads.
     pub fn new(settings: Entry) -> Arc<Node> {
-        let card = VmStatus {
+        let status = VmStatus {
             vm: id::of(&settings.name),
             name: settings.name.clone(),
             domain: id::of(&settings.failure_domain),
@@ -98,16 +98,16 @@
             ms(settings.platform_timeout_ms),
         );
         let key = Key::new(&settings.cluster_key);
-        let (errands, errands_out) = mpsc::channel();
-        let mut online = Online::new(card.domain, util::rng());
+        let (tasks, task_receiver) = mpsc::channel();
+        let mut online = Online::new(status.domain, util::rng());
         online.policy = settings.routing;
-        let core = Core {
+        let state = NodeState {
             online,
-            fleet: Fleet::new(card),
-            plan: None,
-            jobs: Jobs::default(),
+            fleet: Fleet::new(status),
+            config: None,
+            jobs: JobTable::default(),
             online_at: HashMap::new(),
-            callers: HashMap::new(),
+            action_senders: HashMap::new(),
         };
         Arc::new(Node {
             segments: Segments {
@@ -119,15 +119,15 @@
             key,
             platform,
             engines: Engines::new(),
-            core: Mutex::new(core),
-            links: Mutex::new(Links::default()),
+            state: Mutex::new(state),
+            batch_link: Mutex::new(BatchLink::default()),
             counters: Counters::new(),
-            errands,
-            errands_out: Mutex::new(Some(errands_out)),
-            ranges: OnceLock::new(),
+            tasks,
+            task_receiver: Mutex::new(Some(task_receiver)),
+            intent_ranges: OnceLock::new(),
             gossip: OnceLock::new(),
             next_request: AtomicU64::new(1),
-            leaving: AtomicBool::new(false),
+            draining: AtomicBool::new(false),
             superseded: AtomicBool::new(false),
             caught_up: AtomicBool::new(false),
             settings,
@@ -147,26 +147,26 @@
     }
 
     /// Takes the receiving end of the background tasks; `None` after the first call.
-    pub fn take_errands(&self) -> Option<Receiver<Errand>> {
-        lock(&self.errands_out).take()
+    pub fn take_task_receiver(&self) -> Option<Receiver<BackgroundTask>> {
+        lock(&self.task_receiver).take()
     }
 
     /// The configuration in force.
-    pub fn plan(&self) -> Option<Arc<Plan>> {
-        lock(&self.core).plan.clone()
+    pub fn config(&self) -> Option<Arc<Plan>> {
+        lock(&self.state).config.clone()
     }
 
     /// Whether this VM should receive requests, or the reason why not.
     pub fn ready(&self) -> Result<(), &'static str> {
-        self.ready_with(&lock(&self.core))
+        self.ready_with(&lock(&self.state))
     }
 
     /// Like [`Node::ready`], for a caller that holds the lock.
-    pub fn ready_with(&self, core: &Core) -> Result<(), &'static str> {
-        if self.leaving.load(Ordering::SeqCst) {
+    pub fn ready_with(&self, state: &NodeState) -> Result<(), &'static str> {
+        if self.draining.load(Ordering::SeqCst) {
             return Err("leaving");
         }
-        if core.plan.is_none() {
+        if state.config.is_none() {
             return Err("no configuration yet");
         }
         if !self.caught_up.load(Ordering::SeqCst) {
@@ -182,13 +182,13 @@
 
     /// Starts draining: reports to the peers and to the batch process that this VM accepts no new
     /// work.
-    pub fn leave(&self) {
-        self.leaving.store(true, Ordering::SeqCst);
-        let mut core = lock(&self.core);
-        core.fleet.card.leaving = true;
-        core.fleet.send_now();
-        lock(&self.links).send(ToBatch::Leave);
-        drop(core);
+    pub fn start_draining(&self) {
+        self.draining.store(true, Ordering::SeqCst);
+        let mut state = lock(&self.state);
+        state.fleet.card.leaving = true;
+        state.fleet.send_now();
+        lock(&self.batch_link).send(ToBatch::Leave);
+        drop(state);
         self.tick();
     }
 
@@ -196,68 +196,68 @@
     pub fn register(&self) -> (RequestId, Receiver<Action>) {
         let request = self.next_request.fetch_add(1, Ordering::SeqCst);
         let (sender, receiver) = mpsc::channel();
-        lock(&self.core).callers.insert(request, sender);
+        lock(&self.state).action_senders.insert(request, sender);
         (request, receiver)
     }
 
     /// Removes a request that has its final answer.
     pub fn unregister(&self, request: RequestId) {
-        lock(&self.core).callers.remove(&request);
+        lock(&self.state).action_senders.remove(&request);
     }
 
     /// Handles an event of an online request and dispatches the resulting actions.
-    pub fn online(&self, event: Event) {
+    pub fn handle_online(&self, event: Event) {
         let now = clock::now();
-        let mut core = lock(&self.core);
+        let mut state = lock(&self.state);
         let mut out = Vec::new();
-        core.online.handle(now, event, &mut out);
-        self.pass_on(now, &mut core, out);
+        state.online.handle(now, event, &mut out);
+        self.dispatch(now, &mut state, out);
     }
 
-    fn pass_on(&self, now: Duration, core: &mut Core, actions: Vec<Action>) {
+    fn dispatch(&self, now: Duration, state: &mut NodeState, actions: Vec<Action>) {
         for action in actions {
             let request = match &action {
                 Action::Send {
                     request, endpoint, ..
                 } => {
-                    self.note_online(now, core, *endpoint);
+                    self.record_online_request(now, state, *endpoint);
                     *request
                 }
                 Action::Refuse { request, .. } | Action::GiveUp { request } => *request,
             };
-            if let Some(caller) = core.callers.get(&request) {
-                let _ = caller.send(action);
+            if let Some(sender) = state.action_senders.get(&request) {
+                let _ = sender.send(action);
             }
         }
     }
 
     /// Records that an online request goes to an endpoint, so that batch work there yields at once.
-    fn note_online(&self, now: Duration, core: &mut Core, endpoint: EndpointId) {
-        core.online_at.insert(endpoint, now);
+    fn record_online_request(&self, now: Duration, state: &mut NodeState, endpoint: EndpointId) {
+        state.online_at.insert(endpoint, now);
         self.counters.attempts.inc();
-        let online = core
+        let online = state
             .online
             .endpoints
             .get(endpoint)
             .map_or(0, |row| row.online_here);
-        let domain = core
+        let domain = state
             .online
             .endpoints
             .get(endpoint)
             .map(|row| row.declared.domain);
-        if domain != Some(core.fleet.card.domain) {
+        if domain != Some(state.fleet.card.domain) {
             return;
         }
-        match core.fleet.assigned_vm(endpoint) {
-            Some(home) if home == core.fleet.card.vm => self.push_windows(now, core),
+        match state.fleet.assigned_vm(endpoint) {
+            Some(assigned) if assigned == state.fleet.card.vm => self.push_windows(now, state),
             // Only the first request is reported by a datagram; heartbeats report the rest while it
             // runs.
-            Some(home) if online == 1 => {
-                let to = core
+            Some(assigned) if online == 1 => {
+                let to = state
                     .fleet
                     .members
                     .rows
-                    .get(&home)
+                    .get(&assigned)
                     .map(|row| row.card.gossip_address);
                 if let Some(to) = to {
                     self.send(to, &Datagram::Pressure { endpoint, online });
@@ -268,11 +268,11 @@
     }
 
     /// Handles the report that another VM sent online requests to an endpoint assigned to this VM.
-    pub fn pressed(&self, endpoint: EndpointId) {
+    pub fn apply_pressure(&self, endpoint: EndpointId) {
         let now = clock::now();
-        let mut core = lock(&self.core);
-        core.online_at.insert(endpoint, now);
-        self.push_windows(now, &mut core);
+        let mut state = lock(&self.state);
+        state.online_at.insert(endpoint, now);
+        self.push_windows(now, &mut state);
     }
 
     /// Sends a datagram, sealed with the cluster key.
@@ -281,7 +281,7 @@
             return;
         };
         if sealed.len() > DATAGRAM_BYTES {
-            warn!(bytes = sealed.len(); "a datagram is too large");
+            warn!(bytes = sealed.len(); "datagram not sent: too large");
             return;
         }
         if let Some(socket) = self.gossip() {
@@ -296,48 +296,49 @@
     /// Runs all time-driven work: online requests, heartbeats, job records, batch windows.
     pub fn tick(&self) {
         let now = clock::now();
-        let mut core = lock(&self.core);
-        let core = &mut *core;
+        let mut state = lock(&self.state);
+        let state = &mut *state;
         let mut actions = Vec::new();
-        core.online.tick(now, &mut actions);
-        self.pass_on(now, core, actions);
-        core.fleet.card.batch = lock(&self.links).batch;
-        core.fleet.card.jobs = core.jobs.revision;
+        state.online.tick(now, &mut actions);
+        self.dispatch(now, state, actions);
+        state.fleet.card.batch = lock(&self.batch_link).owner;
+        state.fleet.card.jobs = state.jobs.revision;
         let mut actions = Vec::new();
-        core.fleet
-            .tick(now, &mut core.online.endpoints, &mut actions);
-        self.run_fleet(core, actions);
-        for row in &core.online.endpoints.rows {
+        state
+            .fleet
+            .tick(now, &mut state.online.endpoints, &mut actions);
+        self.run_fleet_actions(state, actions);
+        for row in &state.online.endpoints.rows {
             if row.online() > 0 {
-                core.online_at.insert(row.id, now);
+                state.online_at.insert(row.id, now);
             }
         }
-        core.jobs.forget_ended(clock::unix_ms());
-        self.push_windows(now, core);
-        self.push_crew(core);
+        state.jobs.forget_ended(clock::unix_ms());
+        self.push_windows(now, state);
+        self.push_batch_peers(state);
     }
 
     /// Carries out the actions of the fleet table.
-    pub fn run_fleet(&self, core: &mut Core, actions: Vec<fleet::Action>) {
+    pub fn run_fleet_actions(&self, state: &mut NodeState, actions: Vec<fleet::Action>) {
         for action in actions {
             match action {
                 fleet::Action::Send { to, heartbeat } => {
                     self.send(to, &Datagram::Heartbeat(heartbeat));
                 }
                 fleet::Action::FetchConfig { from, .. } => {
-                    let _ = self.errands.send(Errand::FetchConfig { from });
+                    let _ = self.tasks.send(BackgroundTask::FetchConfig { from });
                 }
                 fleet::Action::FetchJobs { from } => {
-                    let _ = self.errands.send(Errand::FetchJobs { from });
+                    let _ = self.tasks.send(BackgroundTask::FetchJobs { from });
                 }
                 fleet::Action::Poll { endpoint } => {
-                    let row = core.online.endpoints.get(endpoint);
+                    let row = state.online.endpoints.get(endpoint);
                     if let Some(address) = row.map(|row| row.declared.address.clone()) {
-                        let _ = self.errands.send(Errand::Poll { endpoint, address });
+                        let _ = self.tasks.send(BackgroundTask::Poll { endpoint, address });
                     }
                 }
                 fleet::Action::Stop => {
-                    warn!("another process has this VM's id; stopping");
+                    warn!("another process started with this VM's id; stopping");
                     self.superseded.store(true, Ordering::SeqCst);
                 }
             }
@@ -345,35 +346,35 @@
     }
 
     /// Version of the configuration in force; 0 for none.
-    pub fn version(&self) -> ConfigVersion {
-        lock(&self.core).fleet.card.config
+    pub fn config_version(&self) -> ConfigVersion {
+        lock(&self.state).fleet.card.config
     }
 
     /// Puts a configuration in force if it is newer than the present one.
-    pub fn adopt(&self, versioned: Versioned) -> bool {
+    pub fn apply_config(&self, versioned: Versioned) -> bool {
         let version = versioned.head.version;
-        let mut core = lock(&self.core);
+        let mut state = lock(&self.state);
         // Never replaced by an older one: a caller that saw a version in force here relies on it,
         // even if a peer or the platform answers late with an earlier version.
-        if version <= core.fleet.card.config {
+        if version <= state.fleet.card.config {
             return false;
         }
-        let plan = Arc::new(Plan::new(Arc::new(versioned)));
-        core.online.endpoints.configure(plan.endpoints());
-        core.online.services = plan.services();
-        core.fleet.card.config = version;
-        core.fleet.send_now();
-        core.plan = Some(plan.clone());
-        let config = ToBatch::Config(Box::new((*plan.versioned).clone()));
-        lock(&self.links).send(config);
-        drop(core);
+        let config = Arc::new(Plan::new(Arc::new(versioned)));
+        state.online.endpoints.configure(config.endpoints());
+        state.online.services = config.services();
+        state.fleet.card.config = version;
+        state.fleet.send_now();
+        state.config = Some(config.clone());
+        let message = ToBatch::Config(Box::new((*config.versioned).clone()));
+        lock(&self.batch_link).send(message);
+        drop(state);
         info!(version; "configuration in force");
-        self.keep(&plan.versioned);
+        self.save_config(&config.versioned);
         true
     }
 
     /// Saves the configuration to the data folder, for the next start.
-    fn keep(&self, versioned: &Versioned) {
+    fn save_config(&self, versioned: &Versioned) {
         let Some(folder) = &self.settings.data_dir else {
             return;
         };
@@ -386,12 +387,12 @@
                 std::fs::rename(new, folder.join("configuration.json"))
             });
         if let Err(error) = written {
-            warn!("the configuration could not be kept: {error}");
+            warn!("failed to save the configuration: {error}");
         }
     }
 
     /// Loads the configuration that was saved before a restart.
-    pub fn take_kept(&self) {
+    pub fn load_saved_config(&self) {
         let Some(folder) = &self.settings.data_dir else {
             return;
         };
@@ -400,9 +401,9 @@
         };
         match serde_json::from_slice(&text) {
             Ok(versioned) => {
-                self.adopt(versioned);
+                self.apply_config(versioned);
             }
-            Err(error) => warn!("the kept configuration can't be read: {error}"),
+            Err(error) => warn!("failed to parse the saved configuration: {error}"),
         }
     }
 }
--- a/src/entry/online.rs
+++ b/src/entry/online.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde_json::json;
 
-use super::node::{Asker, Errand, Node};
+use super::node::{BackgroundTask, CallerContext, Node};
 use crate::clock;
 use crate::config::Service;
 use crate::decide::online::{Action, Arrival, AttemptOutcome, Event};
@@ -23,16 +23,16 @@
 
 /// Bytes of the first message (or of the prompt) that are hashed to find requests with the same
 /// prefix.
-const PREFIX_BYTES: usize = 1024;
+const PREFIX_BYTES_MAX: usize = 1024;
 /// Times that a broken stream is resumed from its last event before the request fails.
-const RESUMES: u32 = 2;
+const RESUMES_MAX: u32 = 2;
 /// Time past its deadline after which a request is refused here, even if no decision has arrived.
-const GRACE: Duration = Duration::from_millis(500);
-const RETRY_SOON: Duration = Duration::from_secs(1);
+const DECISION_MARGIN: Duration = Duration::from_millis(500);
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// The fields of a request body that the entry process reads.
 #[derive(Deserialize)]
-struct Asked<'a> {
+struct RequestBody<'a> {
     #[serde(borrow)]
     model: std::borrow::Cow<'a, str>,
     #[serde(default)]
@@ -43,7 +43,7 @@
     prompt: Option<&'a serde_json::value::RawValue>,
 }
 
-impl Asked<'_> {
+impl RequestBody<'_> {
     /// Hash of the prompt's beginning, equal for requests that share a cached prefix; 0 for none.
     fn prefix(&self) -> u64 {
         let first = self
@@ -53,15 +53,15 @@
         let Some(text) = first.or(self.prompt).map(|raw| raw.get()) else {
             return 0;
         };
-        let cut = text.len().min(PREFIX_BYTES);
+        let cut = text.len().min(PREFIX_BYTES_MAX);
         id::of(&String::from_utf8_lossy(&text.as_bytes()[..cut])) | 1
     }
 }
 
 /// An online request between its arrival and its final answer.
-pub struct Ticket<'a> {
+pub struct OnlineRequest<'a> {
     pub node: &'a Node,
-    pub asker: &'a Asker,
+    pub caller: &'a CallerContext,
     pub request: RequestId,
     pub name: String,
     pub deadline: Duration,
@@ -70,7 +70,7 @@
 }
 
 /// The next step of a request.
-pub enum Next {
+pub enum NextStep {
     Send {
         endpoint: EndpointId,
         address: Name,
@@ -79,16 +79,16 @@
     Refuse(Problem),
 }
 
-impl<'a> Ticket<'a> {
+impl<'a> OnlineRequest<'a> {
     /// Submits a request for admission.
-    pub fn open(
+    pub fn submit(
         node: &'a Node,
-        asker: &'a Asker,
+        caller: &'a CallerContext,
         request: &Request,
         service: &Service,
         prefix: u64,
         idempotent: bool,
-    ) -> Ticket<'a> {
+    ) -> OnlineRequest<'a> {
         let now = clock::now();
         let asked_ms = request
             .header("X-Deadline-Ms")
@@ -96,9 +96,9 @@
         let deadline = now + ms(asked_ms.unwrap_or(service.deadline_ms).min(86_400_000));
         let (number, actions) = node.register();
         let name = format!("{}-{number:x}-{:x}", node.settings.name, clock::unix_ms());
-        node.online(Event::Arrived(Arrival {
+        node.handle_online(Event::Arrived(Arrival {
             request: number,
-            workspace: id::of(&asker.workspace),
+            workspace: id::of(&caller.workspace),
             priority: 0,
             service: id::of(&service.name),
             prefix,
@@ -107,9 +107,9 @@
             resumable: false,
             attempts_max: TRIES_MAX,
         }));
-        Ticket {
+        OnlineRequest {
             node,
-            asker,
+            caller,
             request: number,
             name,
             deadline,
@@ -119,26 +119,26 @@
     }
 
     /// Blocks until the next step is decided, at most until shortly after the deadline.
-    pub fn next(&self) -> Next {
-        let patience = self.left() + GRACE;
-        match self.actions.recv_timeout(patience) {
+    pub fn next_step(&self) -> NextStep {
+        let timeout = self.time_left() + DECISION_MARGIN;
+        match self.actions.recv_timeout(timeout) {
             Ok(Action::Send {
                 endpoint, attempt, ..
             }) => {
-                match self.asker.plan.address(endpoint) {
-                    Some(address) => Next::Send {
+                match self.caller.config.address(endpoint) {
+                    Some(address) => NextStep::Send {
                         endpoint,
                         address: address.clone(),
                         attempt: format!("{}-{attempt}", self.name),
                     },
                     // The configuration changed after admission.
-                    None => Next::Refuse(
-                        Problem::not_run(RefusalKind::NoEndpoint, "gone").after(RETRY_SOON),
+                    None => NextStep::Refuse(
+                        Problem::not_run(RefusalKind::NoEndpoint, "gone").after(RETRY_AFTER),
                     ),
                 }
             }
             // The engine client gives the attempt up by its own timeouts.
-            Ok(Action::GiveUp { .. }) => self.next(),
+            Ok(Action::GiveUp { .. }) => self.next_step(),
             Ok(Action::Refuse {
                 kind,
                 not_run,
@@ -146,7 +146,7 @@
                 ..
             }) => {
                 let detail = format!("request {}", self.name);
-                Next::Refuse(Problem {
+                NextStep::Refuse(Problem {
                     kind,
                     detail,
                     not_run,
@@ -155,29 +155,29 @@
             }
             Err(_) => {
                 let detail = format!("request {}", self.name);
-                Next::Refuse(Problem::maybe_run(RefusalKind::DeadlinePassed, detail))
+                NextStep::Refuse(Problem::maybe_run(RefusalKind::DeadlinePassed, detail))
             }
         }
     }
 
     /// Time until the deadline.
-    pub fn left(&self) -> Duration {
+    pub fn time_left(&self) -> Duration {
         self.deadline.saturating_sub(clock::now())
     }
 
     /// Reports how an attempt ended.
-    pub fn ended(&self, outcome: AttemptOutcome) {
-        self.node.online(Event::Ended {
+    pub fn report_outcome(&self, outcome: AttemptOutcome) {
+        self.node.handle_online(Event::Ended {
             request: self.request,
             outcome,
         });
     }
 
     /// Reports a failed attempt.
-    pub fn failed(&self, fault: &Fault) {
-        info!(request = self.name.as_str(), workspace = &*self.asker.workspace;
+    pub fn report_failure(&self, fault: &Fault) {
+        info!(request = self.name.as_str(), workspace = &*self.caller.workspace;
             "try failed: {}", fault.detail);
-        self.ended(AttemptOutcome::Failed {
+        self.report_outcome(AttemptOutcome::Failed {
             reach: fault.reach,
             blame: fault.blame,
             ended: false,
@@ -185,8 +185,8 @@
     }
 
     /// Reports the first token and observes the time that it took.
-    pub fn first_token(&self) {
-        self.node.online(Event::FirstToken {
+    pub fn report_first_token(&self) {
+        self.node.handle_online(Event::FirstToken {
             request: self.request,
         });
         let waited = clock::now().saturating_sub(self.arrived_at);
@@ -201,28 +201,28 @@
             .refusals
             .with_label_values(&[reason])
             .inc();
-        info!(request = self.name.as_str(), workspace = &*self.asker.workspace;
+        info!(request = self.name.as_str(), workspace = &*self.caller.workspace;
             "refused: {reason}");
         out.problem(problem)
     }
 
-    fn count(&self, end: &str) {
+    fn count_outcome(&self, end: &str) {
         self.node.counters.requests.with_label_values(&[end]).inc();
     }
 }
 
-impl Drop for Ticket<'_> {
+impl Drop for OnlineRequest<'_> {
     fn drop(&mut self) {
         // Removes the request from all tables, however its handler returned. A request that has
         // ended already ignores this outcome.
-        self.ended(AttemptOutcome::Abandoned);
+        self.report_outcome(AttemptOutcome::Abandoned);
         self.node.unregister(self.request);
     }
 }
 
 /// Lists the models and adapters that requests may name.
-pub fn models(asker: &Asker, out: &mut Responder) -> io::Result<()> {
-    let state = asker.plan.state();
+pub fn models(caller: &CallerContext, out: &mut Responder) -> io::Result<()> {
+    let state = caller.config.state();
     let models = state
         .services
         .iter()
@@ -238,12 +238,12 @@
 /// Handles a chat or text completion.
 pub fn handle(
     node: &Node,
-    asker: &Asker,
+    caller: &CallerContext,
     request: &Request,
     out: &mut Responder,
 ) -> io::Result<()> {
-    let asked: Asked = match serde_json::from_slice(&request.body) {
-        Ok(asked) => asked,
+    let body: RequestBody = match serde_json::from_slice(&request.body) {
+        Ok(body) => body,
         Err(error) => {
             return out.problem(&Problem::not_run(
                 RefusalKind::BadRequest,
@@ -251,26 +251,23 @@
             ));
         }
     };
-    let Some(service) = asker.plan.state().service_of_model(&asked.model) else {
-        let detail = format!(
-            "model {:?}; GET /v1/models lists what there is",
-            asked.model
-        );
+    let Some(service) = caller.config.state().service_of_model(&body.model) else {
+        let detail = format!("model {:?}; GET /v1/models lists what there is", body.model);
         return out.problem(&Problem::not_run(RefusalKind::NotFound, detail));
     };
-    let ticket = Ticket::open(node, asker, request, service, asked.prefix(), true);
+    let online_request = OnlineRequest::submit(node, caller, request, service, body.prefix(), true);
     loop {
-        match ticket.next() {
-            Next::Refuse(problem) => return ticket.refuse(&problem, out),
-            Next::Send {
+        match online_request.next_step() {
+            NextStep::Refuse(problem) => return online_request.refuse(&problem, out),
+            NextStep::Send {
                 address, attempt, ..
             } => {
                 // Half of the time that is left, so that another endpoint can still be tried after
                 // one that accepts the request and never answers.
-                let timeout = if asked.stream {
-                    ticket.left()
+                let timeout = if body.stream {
+                    online_request.time_left()
                 } else {
-                    ticket.left() / 2
+                    online_request.time_left() / 2
                 };
                 let call = Call {
                     address: &address,
@@ -282,9 +279,9 @@
                     body: &request.body,
                     timeout,
                 };
-                let ended = match asked.stream {
-                    true => try_stream(&ticket, call, out)?,
-                    false => try_whole(&ticket, call, out)?,
+                let ended = match body.stream {
+                    true => run_stream_attempt(&online_request, call, out)?,
+                    false => run_whole_attempt(&online_request, call, out)?,
                 };
                 if ended {
                     return Ok(());
@@ -295,61 +292,74 @@
 }
 
 /// Runs one attempt without streaming; returns true if the caller has received its final answer.
-fn try_whole(ticket: &Ticket<'_>, call: Call<'_>, out: &mut Responder) -> io::Result<bool> {
-    match ticket.node.engines.call(call, true) {
+fn run_whole_attempt(
+    online_request: &OnlineRequest<'_>,
+    call: Call<'_>,
+    out: &mut Responder,
+) -> io::Result<bool> {
+    match online_request.node.engines.call(call, true) {
         Ok(answer) => {
-            ticket.ended(AttemptOutcome::Done);
-            ticket.count("answered");
-            send_whole(ticket, &answer, out)?;
+            online_request.report_outcome(AttemptOutcome::Done);
+            online_request.count_outcome("answered");
+            send_answer(online_request, &answer, out)?;
             Ok(true)
         }
         Err(fault) => {
-            ticket.failed(&fault);
+            online_request.report_failure(&fault);
             Ok(false)
         }
     }
 }
 
-fn send_whole(ticket: &Ticket<'_>, answer: &Answer, out: &mut Responder) -> io::Result<()> {
-    let head = Head::new(answer.status, &answer.content_type).with("X-Request-Id", &ticket.name);
+fn send_answer(
+    online_request: &OnlineRequest<'_>,
+    answer: &Answer,
+    out: &mut Responder,
+) -> io::Result<()> {
+    let head =
+        Head::new(answer.status, &answer.content_type).with("X-Request-Id", &online_request.name);
     out.full(&head, &answer.body)
 }
 
 /// Runs one streaming attempt; returns true if the caller has received its final answer.
-fn try_stream(ticket: &Ticket<'_>, call: Call<'_>, out: &mut Responder) -> io::Result<bool> {
-    let mut events = match ticket.node.engines.stream(call) {
+fn run_stream_attempt(
+    online_request: &OnlineRequest<'_>,
+    call: Call<'_>,
+    out: &mut Responder,
+) -> io::Result<bool> {
+    let mut events = match online_request.node.engines.stream(call) {
         Ok(Started::Stream(events)) => events,
         Ok(Started::Whole(answer)) => {
-            ticket.ended(AttemptOutcome::Done);
-            ticket.count("answered");
-            send_whole(ticket, &answer, out)?;
+            online_request.report_outcome(AttemptOutcome::Done);
+            online_request.count_outcome("answered");
+            send_answer(online_request, &answer, out)?;
             return Ok(true);
         }
         Err(fault) => {
-            ticket.failed(&fault);
+            online_request.report_failure(&fault);
             return Ok(false);
         }
     };
     let mut sent = 0;
     let mut resumes = 0;
     loop {
-        let fault = match forward(ticket, &mut events, &mut sent, out) {
-            Forwarded::Done => {
-                ticket.ended(AttemptOutcome::Done);
-                ticket.count("answered");
+        let fault = match forward_events(online_request, &mut events, &mut sent, out) {
+            ForwardOutcome::Done => {
+                online_request.report_outcome(AttemptOutcome::Done);
+                online_request.count_outcome("answered");
                 return out.end().map(|()| true);
             }
-            Forwarded::CallerGone(error) => {
-                give_up(ticket, call);
-                ticket.count("abandoned");
+            ForwardOutcome::CallerGone(error) => {
+                cancel_attempt(online_request, call);
+                online_request.count_outcome("abandoned");
                 return Err(error);
             }
-            Forwarded::Broken(fault) => fault,
+            ForwardOutcome::Broken(fault) => fault,
         };
         resumes += 1;
-        if fault.died && resumes <= RESUMES {
-            let left = ticket.left();
-            let engines = &ticket.node.engines;
+        if fault.died && resumes <= RESUMES_MAX {
+            let left = online_request.time_left();
+            let engines = &online_request.node.engines;
             match engines.resume(call.address, call.attempt, sent, left) {
                 Ok(Started::Stream(resumed)) => {
                     events = resumed;
@@ -359,68 +369,75 @@
             }
         }
         if sent == 0 {
-            ticket.failed(&fault);
+            online_request.report_failure(&fault);
             return Ok(false);
         }
-        ticket.failed(&Fault {
+        online_request.report_failure(&Fault {
             reach: AttemptStage::Answering,
             ..fault.clone()
         });
-        ticket.count("broken");
-        return break_off(&fault, out).map(|()| true);
+        online_request.count_outcome("broken");
+        return end_incomplete_stream(&fault, out).map(|()| true);
     }
 }
 
-enum Forwarded {
+enum ForwardOutcome {
     Done,
     Broken(Fault),
     CallerGone(io::Error),
 }
 
-fn forward(
-    ticket: &Ticket<'_>,
+fn forward_events(
+    online_request: &OnlineRequest<'_>,
     events: &mut Events,
     sent: &mut u64,
     out: &mut Responder,
-) -> Forwarded {
+) -> ForwardOutcome {
     loop {
         match events.read() {
-            Err(fault) => return Forwarded::Broken(fault),
+            Err(fault) => return ForwardOutcome::Broken(fault),
             Ok(engine::Event::Done) => {
-                return match start(ticket, *sent, out).and_then(|()| out.chunk(DONE)) {
-                    Ok(()) => Forwarded::Done,
-                    Err(error) => Forwarded::CallerGone(error),
+                return match start_stream(online_request, *sent, out)
+                    .and_then(|()| out.chunk(DONE_EVENT))
+                {
+                    Ok(()) => ForwardOutcome::Done,
+                    Err(error) => ForwardOutcome::CallerGone(error),
                 };
             }
             Ok(engine::Event::Data(data)) => {
-                let written = start(ticket, *sent, out).and_then(|()| out.chunk(&data));
+                let written =
+                    start_stream(online_request, *sent, out).and_then(|()| out.chunk(&data));
                 if let Err(error) = written {
-                    return Forwarded::CallerGone(error);
+                    return ForwardOutcome::CallerGone(error);
                 }
-                ticket.node.counters.tokens.inc();
+                online_request.node.counters.tokens.inc();
                 *sent += 1;
             }
         }
     }
 }
 
-const DONE: &[u8] = b"data: [DONE]\n\n";
+const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-fn start(ticket: &Ticket<'_>, sent: u64, out: &mut Responder) -> io::Result<()> {
+fn start_stream(
+    online_request: &OnlineRequest<'_>,
+    sent: u64,
+    out: &mut Responder,
+) -> io::Result<()> {
     if sent > 0 || out.started() {
         return Ok(());
     }
-    ticket.first_token();
+    online_request.report_first_token();
     out.start(
         &Head::new(200, "text/event-stream")
             .with("Cache-Control", "no-cache")
-            .with("X-Request-Id", &ticket.name),
+            .with("X-Request-Id", &online_request.name),
     )
 }
 
-fn give_up(ticket: &Ticket<'_>, call: Call<'_>) {
-    ticket.ended(AttemptOutcome::Abandoned);
-    let _ = ticket.node.errands.send(Errand::Cancel {
+fn cancel_attempt(online_request: &OnlineRequest<'_>, call: Call<'_>) {
+    online_request.report_outcome(AttemptOutcome::Abandoned);
+    let _ = online_request.node.tasks.send(BackgroundTask::Cancel {
         address: call.address.into(),
         attempt: call.attempt.to_owned(),
     });
@@ -428,7 +445,7 @@
 
 /// Ends an incomplete stream so that no caller takes it for complete: sends an error event, and
 /// neither the end marker nor the last chunk of the chunked body.
-fn break_off(fault: &Fault, out: &mut Responder) -> io::Result<()> {
+fn end_incomplete_stream(fault: &Fault, out: &mut Responder) -> io::Result<()> {
     let name: &'static str = RefusalKind::EndpointFailed.into();
     let error = json!({ "error": { "type": name, "message": fault.detail } });
     out.chunk(format!("event: error\ndata: {error}\n\n").as_bytes())
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{json, Value};
 
-use super::node::{Core, Node};
+use super::node::{Node, NodeState};
 use crate::clock;
 use crate::metrics;
 use crate::pages::{self, Page};
@@ -35,27 +35,27 @@
 
 fn dump(node: &Node) -> Value {
     let now = clock::now();
-    let core = lock(&node.core);
-    let card = &core.fleet.card;
+    let state = lock(&node.state);
+    let status = &state.fleet.card;
     json!({
-        "vm": card,
-        "ready": node.ready_with(&core),
-        "delegate": core.fleet.is_delegate(now),
-        "configuration": core.plan.as_ref().map(|plan| &plan.versioned.head),
-        "members": members(&core),
-        "endpoints": endpoints(&core),
-        "services": core.online.waiting(now),
-        "jobs": core.jobs.rows.values().map(|(_, record)| record).collect::<Vec<_>>(),
-        "jobs_revision": core.jobs.revision,
+        "vm": status,
+        "ready": node.ready_with(&state),
+        "delegate": state.fleet.is_delegate(now),
+        "configuration": state.config.as_ref().map(|config| &config.versioned.head),
+        "members": members(&state),
+        "endpoints": endpoints(&state),
+        "services": state.online.waiting(now),
+        "jobs": state.jobs.rows.values().map(|(_, record)| record).collect::<Vec<_>>(),
+        "jobs_revision": state.jobs.revision,
         "resident_bytes": metrics::resident_bytes(std::process::id()),
         "processor_ms": metrics::processor_time().as_millis() as u64,
         "uptime_ms": now.as_millis() as u64,
     })
 }
 
-fn members(core: &Core) -> Vec<Value> {
+fn members(state: &NodeState) -> Vec<Value> {
     let now = clock::now();
-    let rows = core.fleet.members.rows.values();
+    let rows = state.fleet.members.rows.values();
     rows.map(|row| {
         json!({
             "card": row.card,
@@ -67,9 +67,9 @@
     .collect()
 }
 
-fn endpoints(core: &Core) -> Vec<Value> {
+fn endpoints(state: &NodeState) -> Vec<Value> {
     let now = clock::now();
-    let rows = core.online.endpoints.rows.iter();
+    let rows = state.online.endpoints.rows.iter();
     rows.map(|row| {
         json!({
             "name": row.declared.name,
@@ -78,7 +78,7 @@
             "limit": row.limit.slots(),
             "online_here": row.online_here,
             "online_elsewhere": row.online_elsewhere,
-            "home": core.fleet.assigned_vm(row.id) == Some(core.fleet.card.vm),
+            "home": state.fleet.assigned_vm(row.id) == Some(state.fleet.card.vm),
             "first_token_ms": row.first_token_ms,
             "ejected_ms": row.ejected_until.saturating_sub(now).as_millis() as u64,
             "report": row.report,
@@ -90,15 +90,20 @@
 /// The work that waits at this VM, and what each waits for.
 fn why(node: &Node) -> Value {
     let now = clock::now();
-    let core = lock(&node.core);
+    let state = lock(&node.state);
     let mut reasons = Vec::new();
-    if let Err(why) = node.ready_with(&core) {
+    if let Err(why) = node.ready_with(&state) {
         reasons.push(json!({ "what": "this VM", "waits_for": why }));
     }
-    for row in core.online.waiting(now).iter().filter(|row| row.queued > 0) {
-        let usable = core.online.endpoints.of_service(row.service).iter();
+    for row in state
+        .online
+        .waiting(now)
+        .iter()
+        .filter(|row| row.queued > 0)
+    {
+        let usable = state.online.endpoints.of_service(row.service).iter();
         let usable = usable
-            .filter(|at| core.online.endpoints.rows[**at].usable(now))
+            .filter(|at| state.online.endpoints.rows[**at].usable(now))
             .count();
         reasons.push(json!({
             "what": format!("{} online requests", row.queued),
@@ -106,38 +111,38 @@
             "expected_wait_ms": row.expected_wait_ms,
         }));
     }
-    for (_, record) in core
+    for (_, record) in state
         .jobs
         .rows
         .values()
         .filter(|(_, record)| !record.state.ended())
     {
         reasons.push(
-            json!({ "what": format!("job {}", record.id), "waits_for": job_waits(&core, node) }),
+            json!({ "what": format!("job {}", record.id), "waits_for": job_wait_reason(&state, node) }),
         );
     }
     json!({ "vm": node.settings.name, "waiting": reasons })
 }
 
-fn job_waits(core: &Core, node: &Node) -> String {
+fn job_wait_reason(state: &NodeState, node: &Node) -> String {
     let now = clock::now();
-    if lock(&node.links).batch == 0 {
+    if lock(&node.batch_link).owner == 0 {
         return "the batch process of this VM, which is not linked".into();
     }
-    let homes: Vec<_> = core
+    let assigned: Vec<_> = state
         .online
         .endpoints
         .rows
         .iter()
-        .filter(|row| core.fleet.assigned_vm(row.id) == Some(core.fleet.card.vm))
+        .filter(|row| state.fleet.assigned_vm(row.id) == Some(state.fleet.card.vm))
         .collect();
-    if homes.is_empty() {
+    if assigned.is_empty() {
         return "other VMs: this one is home of no endpoint".into();
     }
-    let busy = homes.iter().filter(|row| row.online() > 0).count();
-    let away = homes.iter().filter(|row| !row.usable(now)).count();
+    let busy = assigned.iter().filter(|row| row.online() > 0).count();
+    let unusable = assigned.iter().filter(|row| !row.usable(now)).count();
     format!(
-        "its items at this VM's {} endpoints: {busy} busy with online requests, {away} not usable",
-        homes.len()
+        "its items at this VM's {} endpoints: {busy} busy with online requests, {unusable} not usable",
+        assigned.len()
     )
 }
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -8,7 +8,7 @@
 use log::{info, warn};
 use serde::Serialize;
 
-use super::node::{Core, Node};
+use super::node::{Node, NodeState};
 use super::plan::Plan;
 use crate::clock;
 use crate::config::ServiceKind;
@@ -17,9 +17,9 @@
 use crate::id::{self, Epoch, Name};
 use crate::util::{self, lock};
 
-const TICK: Duration = Duration::from_millis(200);
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 /// Status of an endpoint that refuses an order because it has seen a newer fence.
-const REFUSED_AS_OLD: u16 = 409;
+const STATUS_FENCE_OUTDATED: u16 = 409;
 
 /// The body of an order: the complete set of models that the endpoint should have loaded.
 #[derive(Serialize)]
@@ -40,34 +40,34 @@
 fn run(node: &Node) {
     let mut orders = Orders::new(id::of(&node.settings.name), util::nonce());
     loop {
-        clock::sleep(TICK);
+        clock::sleep(TICK_INTERVAL);
         let now = clock::now();
         let (candidate, wanted) = {
-            let core = lock(&node.core);
+            let state = lock(&node.state);
             (
-                core.fleet.is_first_delegate(now) && !core.fleet.card.leaving,
-                wanted(&core),
+                state.fleet.is_first_delegate(now) && !state.fleet.card.leaving,
+                wanted_models(&state),
             )
         };
         let mut actions = Vec::new();
         orders.tick(now, candidate, &wanted, &mut actions);
         while let Some(action) = actions.pop() {
-            carry_out(node, &mut orders, action, &mut actions);
+            run_action(node, &mut orders, action, &mut actions);
         }
     }
 }
 
 /// The models that each endpoint of the local failure domain should have loaded.
-fn wanted(core: &Core) -> Vec<EndpointModels> {
-    let Some(plan) = &core.plan else {
+fn wanted_models(state: &NodeState) -> Vec<EndpointModels> {
+    let Some(config) = &state.config else {
         return Vec::new();
     };
-    let own = |row: &&crate::decide::endpoints::Endpoint| {
-        row.declared.domain == core.fleet.card.domain && row.leaving.is_none()
+    let is_local = |row: &&crate::decide::endpoints::Endpoint| {
+        row.declared.domain == state.fleet.card.domain && row.leaving.is_none()
     };
-    let rows = core.online.endpoints.rows.iter().filter(own);
+    let rows = state.online.endpoints.rows.iter().filter(is_local);
     rows.filter_map(|row| {
-        let models = models_of(plan, row.declared.service)?;
+        let models = models_of(config, row.declared.service)?;
         let reported = row.report.as_ref().map(|report| report.models.clone());
         Some(EndpointModels {
             endpoint: row.id,
@@ -79,8 +79,8 @@
 }
 
 /// `model@version` of each model of a service, then its adapters; `None` for plain services.
-fn models_of(plan: &Plan, service: u64) -> Option<Vec<Name>> {
-    let state = plan.state();
+fn models_of(config: &Plan, service: u64) -> Option<Vec<Name>> {
+    let state = config.state();
     let service = state
         .services
         .iter()
@@ -100,7 +100,7 @@
     Some(models.chain(adapters.map(|row| row.name.clone())).collect())
 }
 
-fn carry_out(node: &Node, orders: &mut Orders, action: Action, out: &mut Vec<Action>) {
+fn run_action(node: &Node, orders: &mut Orders, action: Action, out: &mut Vec<Action>) {
     let domain = &node.settings.failure_domain;
     let (lease_key, fence_key) = (
         format!("orders/lease/{domain}"),
@@ -139,7 +139,9 @@
             fence,
             models,
         } => {
-            let address = node.plan().and_then(|plan| plan.address(endpoint).cloned());
+            let address = node
+                .config()
+                .and_then(|config| config.address(endpoint).cloned());
             let Some(address) = address else { return };
             info!(endpoint = &*address, fence; "order: {models:?}");
             match node.engines.order(
@@ -149,9 +151,9 @@
                     models: &models,
                 },
             ) {
-                Ok(REFUSED_AS_OLD) => orders.refused(clock::now()),
+                Ok(STATUS_FENCE_OUTDATED) => orders.refused(clock::now()),
                 Ok(_) => {}
-                Err(fault) => warn!("order to {address}: {}", fault.detail),
+                Err(fault) => warn!("order to {address} failed: {}", fault.detail),
             }
         }
     }
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -3,8 +3,8 @@
 use std::io;
 
 use super::intent;
-use super::node::{Asker, Node};
-use super::online::{Next, Ticket};
+use super::node::{CallerContext, Node};
+use super::online::{NextStep, OnlineRequest};
 use crate::config::{Service, ServiceKind};
 use crate::decide::intents::{
     IntentRecord, IntentRequest, IntentVerdict, RecordedAnswer, ANSWER_BYTES,
@@ -18,20 +18,20 @@
 use crate::id;
 use std::time::Duration;
 
-const RETRY_SOON: Duration = Duration::from_secs(1);
-const KEY_BYTES: usize = 256;
+const RETRY_AFTER: Duration = Duration::from_secs(1);
+const KEY_BYTES_MAX: usize = 256;
 
 /// Handles a call of a plain service.
 pub fn handle(
     node: &Node,
-    asker: &Asker,
+    caller: &CallerContext,
     request: &Request,
     out: &mut Responder,
 ) -> io::Result<()> {
     let rest = request.target.strip_prefix("/svc/").unwrap_or_default();
     let name = rest.split(['/', '?']).next().unwrap_or_default();
-    let service = asker
-        .plan
+    let service = caller
+        .config
         .state()
         .service(name)
         .filter(|s| s.kind == ServiceKind::Plain);
@@ -44,54 +44,54 @@
         path => path,
     };
     let key = request.header("Idempotency-Key");
-    if key.is_some_and(|key| key.is_empty() || key.len() > KEY_BYTES) {
-        let detail = format!("Idempotency-Key of 1 to {KEY_BYTES} bytes");
+    if key.is_some_and(|key| key.is_empty() || key.len() > KEY_BYTES_MAX) {
+        let detail = format!("Idempotency-Key of 1 to {KEY_BYTES_MAX} bytes");
         return out.problem(&Problem::not_run(RefusalKind::BadRequest, detail));
     }
-    let call = Forward {
+    let call = PlainCall {
         node,
-        asker,
+        caller,
         request,
         service,
         path,
     };
     match key.filter(|_| !service.idempotent) {
         Some(key) => call.at_most_once(key, out),
-        None => call.run(None, out),
+        None => call.run_repeatable(None, out),
     }
 }
 
-struct Forward<'a> {
+struct PlainCall<'a> {
     node: &'a Node,
-    asker: &'a Asker,
+    caller: &'a CallerContext,
     request: &'a Request,
     service: &'a Service,
     path: &'a str,
 }
 
 /// How a call with an idempotency key ended, as the intent log records it.
-enum Ended {
+enum CallOutcome {
     Answered(Answer),
     /// No endpoint received a byte of it.
     NotRun(Problem),
     Unknown(Problem),
 }
 
-impl Forward<'_> {
+impl PlainCall<'_> {
     /// Runs a call that must not be repeated. The intent log records that it has begun before its
     /// first byte is sent, so that a VM that receives the same call again knows that it may have
     /// run.
     fn at_most_once(&self, key: &str, out: &mut Responder) -> io::Result<()> {
-        let scope = format!("{}\n{}\n{key}", self.asker.workspace, self.service.name);
+        let scope = format!("{}\n{}\n{key}", self.caller.workspace, self.service.name);
         let intent = id::digest(scope.as_bytes());
         let content = self.content_digest();
         match intent::ask(self.node, intent.clone(), IntentRequest::Begin { content }) {
             IntentVerdict::Go => {}
-            IntentVerdict::Replay(answered) => return replay(&answered, out),
+            IntentVerdict::Replay(recorded) => return replay_answer(&recorded, out),
             IntentVerdict::Begun => {
                 let detail = "a request with this key was begun; its outcome is not recorded";
                 let problem =
-                    Problem::maybe_run(RefusalKind::OutcomeUnknown, detail).after(RETRY_SOON);
+                    Problem::maybe_run(RefusalKind::OutcomeUnknown, detail).after(RETRY_AFTER);
                 return self.refuse(&problem, out);
             }
             IntentVerdict::Mismatch => {
@@ -100,27 +100,28 @@
             }
             IntentVerdict::Away => {
                 let detail = "it can't be recorded that this request was begun";
-                let problem = Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_SOON);
+                let problem =
+                    Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_AFTER);
                 return self.refuse(&problem, out);
             }
         }
-        let ended = self.try_all(Some(key));
-        let mark = match &ended {
-            Ended::Answered(answer) => Some(IntentRecord::Answered(answered(answer))),
-            Ended::NotRun(_) => Some(IntentRecord::Released),
-            Ended::Unknown(_) => None,
+        let outcome = self.run_attempts(Some(key));
+        let record = match &outcome {
+            CallOutcome::Answered(answer) => Some(IntentRecord::Answered(recorded_answer(answer))),
+            CallOutcome::NotRun(_) => Some(IntentRecord::Released),
+            CallOutcome::Unknown(_) => None,
         };
-        if let Some(mark) = mark {
+        if let Some(record) = record {
             // After a refusal that says "not run" the caller may retry with the same key, which
             // must be released by then.
-            intent::ask(self.node, intent, IntentRequest::End(mark));
+            intent::ask(self.node, intent, IntentRequest::End(record));
         }
-        self.send(ended, out)
+        self.send(outcome, out)
     }
 
-    fn run(&self, key: Option<&str>, out: &mut Responder) -> io::Result<()> {
-        let ended = self.try_all(key);
-        self.send(ended, out)
+    fn run_repeatable(&self, key: Option<&str>, out: &mut Responder) -> io::Result<()> {
+        let outcome = self.run_attempts(key);
+        self.send(outcome, out)
     }
 
     fn content_digest(&self) -> String {
@@ -128,21 +129,23 @@
         id::digest(&[head.as_bytes(), &self.request.body].concat())
     }
 
-    fn try_all(&self, key: Option<&str>) -> Ended {
+    fn run_attempts(&self, key: Option<&str>) -> CallOutcome {
         let idempotent = self.service.idempotent;
-        let ticket = Ticket::open(
+        let online_request = OnlineRequest::submit(
             self.node,
-            self.asker,
+            self.caller,
             self.request,
             self.service,
             0,
             idempotent,
         );
         loop {
-            let (address, attempt) = match ticket.next() {
-                Next::Refuse(problem) if problem.not_run => return Ended::NotRun(problem),
-                Next::Refuse(problem) => return Ended::Unknown(problem),
-                Next::Send {
+            let (address, attempt) = match online_request.next_step() {
+                NextStep::Refuse(problem) if problem.not_run => {
+                    return CallOutcome::NotRun(problem)
+                }
+                NextStep::Refuse(problem) => return CallOutcome::Unknown(problem),
+                NextStep::Send {
                     address, attempt, ..
                 } => (address, attempt),
             };
@@ -157,21 +160,21 @@
                 attempt: &attempt,
                 key,
                 body: &self.request.body,
-                timeout: ticket.left(),
+                timeout: online_request.time_left(),
             };
             match self.node.engines.call(call, idempotent) {
                 Ok(answer) => {
-                    ticket.ended(AttemptOutcome::Done);
-                    return Ended::Answered(answer);
+                    online_request.report_outcome(AttemptOutcome::Done);
+                    return CallOutcome::Answered(answer);
                 }
-                Err(fault) => ticket.failed(&self.judge(fault)),
+                Err(fault) => online_request.report_failure(&self.classify_fault(fault)),
             }
         }
     }
 
     /// A plain service that answers 503 may have done part of the work. Unlike an engine's refusal,
     /// it does not show that a call which must not be repeated has not run.
-    fn judge(&self, fault: Fault) -> Fault {
+    fn classify_fault(&self, fault: Fault) -> Fault {
         match fault.reach {
             AttemptStage::Refused if !self.service.idempotent => Fault {
                 reach: AttemptStage::MaybeSent,
@@ -181,9 +184,9 @@
         }
     }
 
-    fn send(&self, ended: Ended, out: &mut Responder) -> io::Result<()> {
-        match ended {
-            Ended::Answered(answer) => {
+    fn send(&self, outcome: CallOutcome, out: &mut Responder) -> io::Result<()> {
+        match outcome {
+            CallOutcome::Answered(answer) => {
                 self.node
                     .counters
                     .requests
@@ -194,7 +197,9 @@
                     &answer.body,
                 )
             }
-            Ended::NotRun(problem) | Ended::Unknown(problem) => self.refuse(&problem, out),
+            CallOutcome::NotRun(problem) | CallOutcome::Unknown(problem) => {
+                self.refuse(&problem, out)
+            }
         }
     }
 
@@ -209,7 +214,7 @@
     }
 }
 
-fn answered(answer: &Answer) -> RecordedAnswer {
+fn recorded_answer(answer: &Answer) -> RecordedAnswer {
     let text = std::str::from_utf8(&answer.body)
         .ok()
         .filter(|text| text.len() <= ANSWER_BYTES);
@@ -220,15 +225,15 @@
     }
 }
 
-fn replay(answered: &RecordedAnswer, out: &mut Responder) -> io::Result<()> {
-    let Some(body) = &answered.body else {
+fn replay_answer(recorded: &RecordedAnswer, out: &mut Responder) -> io::Result<()> {
+    let Some(body) = &recorded.body else {
         let detail = format!(
             "it ran, with status {}; its answer was not kept",
-            answered.status
+            recorded.status
         );
         return out.problem(&Problem::maybe_run(RefusalKind::Conflict, detail));
     };
     let head =
-        Head::new(answered.status, &answered.content_type).with("Idempotent-Replayed", "true");
+        Head::new(recorded.status, &recorded.content_type).with("Idempotent-Replayed", "true");
     out.full(&head, body.as_bytes())
 }
--- a/src/entry/plan.rs
+++ b/src/entry/plan.rs
@@ -18,7 +18,7 @@
     pub versioned: Arc<Versioned>,
     keys: KeyTable,
     addresses: HashMap<EndpointId, Name>,
-    knobs: HashMap<ServiceId, BatchWeight>,
+    batch_weights: HashMap<ServiceId, BatchWeight>,
 }
 
 impl Plan {
@@ -41,7 +41,7 @@
             addresses: endpoints
                 .map(|e| (id::of(&e.name), e.address.clone()))
                 .collect(),
-            knobs: services
+            batch_weights: services
                 .map(|s| {
                     (
                         id::of(&s.name),
@@ -77,8 +77,8 @@
     }
 
     /// The batch weight of a service; online weight 1.0 if it is not configured.
-    pub fn knob(&self, service: ServiceId) -> BatchWeight {
-        self.knobs
+    pub fn batch_weight(&self, service: ServiceId) -> BatchWeight {
+        self.batch_weights
             .get(&service)
             .copied()
             .unwrap_or(BatchWeight { online_weight: 1.0 })
@@ -111,11 +111,11 @@
         state
             .services
             .iter()
-            .map(|s| (id::of(&s.name), self.service(s)))
+            .map(|s| (id::of(&s.name), self.service_config(s)))
             .collect()
     }
 
-    fn service(&self, service: &Service) -> online::ServiceConfig {
+    fn service_config(&self, service: &Service) -> online::ServiceConfig {
         let shares = self
             .state()
             .shares
--- a/src/entry/question.rs
+++ b/src/entry/question.rs
@@ -5,8 +5,8 @@
 use crate::decide::intents::{IntentKey, IntentRequest, IntentVerdict};
 
 /// An intent request to the thread of its range.
-pub struct Question {
+pub struct RangeRequest {
     pub key: IntentKey,
-    pub ask: IntentRequest,
-    pub answer: Sender<IntentVerdict>,
+    pub request: IntentRequest,
+    pub reply: Sender<IntentVerdict>,
 }
--- a/src/entry/table.rs
+++ b/src/entry/table.rs
@@ -7,24 +7,24 @@
 use crate::id::{JobId, Revision};
 
 /// Time for which ended jobs are kept.
-const ENDED_KEPT: Duration = Duration::from_secs(600);
+const ENDED_RETENTION: Duration = Duration::from_secs(600);
 
 /// The job records that this process has received.
 #[derive(Debug, Default)]
-pub struct Jobs {
+pub struct JobTable {
     pub rows: BTreeMap<JobId, (Revision, JobRecord)>,
     /// Invariant: `rows` contains all changes up to this revision.
     pub revision: Revision,
 }
 
-impl Jobs {
+impl JobTable {
     /// Stores a record unless a newer one is present.
-    pub fn take(&mut self, revision: Revision, record: JobRecord) {
-        let known = self
+    pub fn insert_newer(&mut self, revision: Revision, record: JobRecord) {
+        let present = self
             .rows
             .get(&record.id)
             .map_or(0, |(revision, _)| *revision);
-        if revision > known {
+        if revision > present {
             self.rows.insert(record.id.clone(), (revision, record));
         }
     }
@@ -40,7 +40,7 @@
 
     /// Drops jobs that ended long before the wall-clock time `now_ms`.
     pub fn forget_ended(&mut self, now_ms: u64) {
-        let kept_ms = ENDED_KEPT.as_millis() as u64;
+        let kept_ms = ENDED_RETENTION.as_millis() as u64;
         self.rows
             .retain(|_, (_, record)| record.ended_ms.is_none_or(|at| now_ms < at + kept_ms));
     }
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -24,19 +24,19 @@
 use crate::util::lock;
 
 /// Longest time that one watch call waits for a change.
-const WATCH_WAIT: Duration = Duration::from_secs(10);
+const WATCH_WAIT_MAX: Duration = Duration::from_secs(10);
 /// Time between two reads of the VM list by one delegate. With two delegates, a failure domain
 /// makes one read per second.
-const LIST_PAUSE: Duration = Duration::from_secs(2);
-const PAUSE: Duration = Duration::from_millis(200);
+const VM_LIST_INTERVAL: Duration = Duration::from_secs(2);
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 /// Time after the start during which a VM waits for its peers' versions if the platform is
 /// unavailable.
-const PEERS_PATIENCE: Duration = Duration::from_millis(1500);
+const PEERS_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Loads the saved configuration and starts the threads.
 pub fn start(node: &Arc<Node>) -> io::Result<()> {
     seed_peers(node);
-    node.take_kept();
+    node.load_saved_config();
     let watching = node.clone();
     thread::Builder::new()
         .name("watch".into())
@@ -51,13 +51,13 @@
 /// Adds the VMs named in the settings, so that heartbeats go to them before their status is known.
 fn seed_peers(node: &Node) {
     let seeds = node.settings.peers.iter();
-    let cards: Vec<VmStatus> = seeds.map(|address| seed_card(node, *address)).collect();
-    let mut core = lock(&node.core);
-    let own = core.fleet.card.clone();
-    core.fleet.members.apply_vm_list(&own, cards);
+    let statuses: Vec<VmStatus> = seeds.map(|address| seed_status(node, *address)).collect();
+    let mut state = lock(&node.state);
+    let local = state.fleet.card.clone();
+    state.fleet.members.apply_vm_list(&local, statuses);
 }
 
-fn seed_card(node: &Node, address: SocketAddr) -> VmStatus {
+fn seed_status(node: &Node, address: SocketAddr) -> VmStatus {
     let name = format!("seed-{address}");
     VmStatus {
         vm: id::of(&name),
@@ -76,121 +76,122 @@
 fn watch_loop(node: &Arc<Node>) {
     let started = clock::now();
     // A watch call takes longer than other calls.
-    let timeout = WATCH_WAIT + ms(node.settings.platform_timeout_ms);
+    let timeout = WATCH_WAIT_MAX + ms(node.settings.platform_timeout_ms);
     let watcher = Platform::new(&node.settings.platform_address.to_string(), timeout);
     // Set when the bodies of a configuration could not be read: the watch does not report its head
     // again.
-    let mut behind = false;
+    let mut config_missed = false;
     loop {
         let caught_up = node.caught_up.load(Ordering::SeqCst);
-        let delegate = lock(&node.core).fleet.is_delegate(clock::now());
-        if caught_up && !delegate && !behind {
-            clock::sleep(PAUSE);
+        let delegate = lock(&node.state).fleet.is_delegate(clock::now());
+        if caught_up && !delegate && !config_missed {
+            clock::sleep(RETRY_INTERVAL);
             continue;
         }
-        if behind {
-            behind = read_again(node).is_err();
+        if config_missed {
+            config_missed = reread_config(node).is_err();
         }
-        let after = lock(&node.core).jobs.revision;
-        let wait = if caught_up && !behind {
-            WATCH_WAIT
+        let after = lock(&node.state).jobs.revision;
+        let wait = if caught_up && !config_missed {
+            WATCH_WAIT_MAX
         } else {
             Duration::ZERO
         };
         match watcher.watch(LIVE_PREFIX, after, wait) {
             Ok(changes) => {
-                behind |= take_changes(node, changes.revision, changes.entries).is_err();
-                if !caught_up && !behind {
+                config_missed |= apply_changes(node, changes.revision, changes.entries).is_err();
+                if !caught_up && !config_missed {
                     info!("caught up with the platform");
                     node.caught_up.store(true, Ordering::SeqCst);
                 }
-                if behind {
-                    clock::sleep(PAUSE);
+                if config_missed {
+                    clock::sleep(RETRY_INTERVAL);
                 }
             }
             Err(error) => {
                 node.counters.platform_errors.inc();
-                if !caught_up && clock::now() >= started + PEERS_PATIENCE && node.plan().is_some() {
-                    warn!("starting without the platform ({error}), as the peers say");
+                if !caught_up && clock::now() >= started + PEERS_TIMEOUT && node.config().is_some()
+                {
+                    warn!("starting without the platform ({error}), with the newest configuration held here");
                     node.caught_up.store(true, Ordering::SeqCst);
                 }
-                clock::sleep(PAUSE);
+                clock::sleep(RETRY_INTERVAL);
             }
         }
     }
 }
 
-fn take_changes(node: &Node, revision: Revision, entries: Vec<Entry>) -> Result<(), store::Error> {
+fn apply_changes(node: &Node, revision: Revision, entries: Vec<Entry>) -> Result<(), store::Error> {
     let mut jobs = Vec::new();
     let mut head = Ok(());
     for entry in entries {
         if entry.key == HEAD_KEY {
-            head = take_head(node, &entry.value);
+            head = apply_head(node, &entry.value);
         } else if let Ok(record) = serde_json::from_str::<JobRecord>(&entry.value) {
             jobs.push((entry.revision, record));
         } else {
-            warn!(key = entry.key.as_str(); "a record can't be read");
+            warn!(key = entry.key.as_str(); "failed to parse a record");
         }
     }
-    let after = lock(&node.core).jobs.revision;
-    take_jobs(node, after, revision, jobs);
+    let after = lock(&node.state).jobs.revision;
+    apply_job_records(node, after, revision, jobs);
     head
 }
 
-fn take_head(node: &Node, text: &str) -> Result<(), store::Error> {
+fn apply_head(node: &Node, text: &str) -> Result<(), store::Error> {
     let head = store::parse_head(text)?;
     let state = store::read_state(&node.platform, &head).inspect_err(|error| {
-        warn!("the configuration could not be read: {error}");
+        warn!("failed to read the configuration: {error}");
     })?;
-    node.adopt(Versioned { head, state });
+    node.apply_config(Versioned { head, state });
     Ok(())
 }
 
-fn read_again(node: &Node) -> Result<(), store::Error> {
+fn reread_config(node: &Node) -> Result<(), store::Error> {
     if let Some((_, versioned)) = store::read(&node.platform)? {
-        node.adopt(versioned);
+        node.apply_config(versioned);
     }
     Ok(())
 }
 
 /// Applies all job records that changed between two revisions.
-pub fn take_jobs(
+pub fn apply_job_records(
     node: &Node,
     after: Revision,
     revision: Revision,
     records: Vec<(Revision, JobRecord)>,
 ) {
-    let mut core = lock(&node.core);
+    let mut state = lock(&node.state);
     for (revision, record) in records {
-        core.jobs.take(revision, record);
+        state.jobs.insert_newer(revision, record);
     }
     // `revision` advances only without a gap: changes inside a gap would never be read.
-    if after <= core.jobs.revision && revision > core.jobs.revision {
-        core.jobs.revision = revision;
-        core.fleet.card.jobs = revision;
-        core.fleet.send_now();
-        node.push_jobs(&core);
+    if after <= state.jobs.revision && revision > state.jobs.revision {
+        state.jobs.revision = revision;
+        state.fleet.card.jobs = revision;
+        state.fleet.send_now();
+        node.push_jobs(&state);
     }
 }
 
 fn list_loop(node: &Arc<Node>) {
     let mut first = true;
     loop {
-        let delegate = lock(&node.core).fleet.is_delegate(clock::now());
+        let delegate = lock(&node.state).fleet.is_delegate(clock::now());
         if first || delegate {
             if let Ok(vms) = node.platform.vms() {
                 first = false;
-                let cards: Vec<VmStatus> = vms.iter().filter_map(card_of).collect();
-                let mut core = lock(&node.core);
-                let own = core.fleet.card.clone();
-                core.fleet.members.apply_vm_list(&own, cards);
+                let statuses: Vec<VmStatus> = vms.iter().filter_map(listed_status).collect();
+                let mut state = lock(&node.state);
+                let local = state.fleet.card.clone();
+                state.fleet.members.apply_vm_list(&local, statuses);
             }
         }
-        clock::sleep(LIST_PAUSE);
+        clock::sleep(VM_LIST_INTERVAL);
     }
 }
 
-fn card_of(vm: &ListedVm) -> Option<VmStatus> {
+fn listed_status(vm: &ListedVm) -> Option<VmStatus> {
     Some(VmStatus {
         vm: id::of(&vm.name),
         name: vm.name.clone(),
