--- a/src/batch.rs
+++ b/src/batch.rs
@@ -24,7 +24,7 @@
 use crate::settings::{self, ms};
 use crate::util::lock;
 
-const STOP_LOOK: Duration = Duration::from_millis(20);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 const THREADS: usize = 2;
 
 /// Why the process could not start.
@@ -47,20 +47,20 @@
     let (sender, receiver) = mpsc::channel();
     let limit = ms(settings.stop_limit_ms);
     let host = Host::new(settings, sender.clone());
-    let shown = host.shown();
+    let status = host.status();
     let registry = Metrics::default();
     let items = registry.gauges(
         "bramley_batch_items",
-        "Tries of items since the start.",
+        "Attempts of items since the start.",
         &["end"],
     );
     let calls = registry.gauges(
         "bramley_batch_platform_calls",
-        "Calls since the start.",
+        "Calls to the platform since the start.",
         &["call"],
     );
     pages::serve(operators, THREADS, move |request| {
-        let state = lock(&shown).clone();
+        let state = lock(&status).clone();
         let page = match request.url().split('?').next().unwrap_or_default() {
             "/metrics" => {
                 let totals = &state.totals;
@@ -101,18 +101,18 @@
         .start(receiver)
         .context(StartSnafu { what: "threads" })?;
     while signals.pending().next().is_none() {
-        clock::sleep(STOP_LOOK);
+        clock::sleep(STOP_CHECK_INTERVAL);
     }
     info!("leaving");
     let _ = sender.send(Message::Stop);
     let until = clock::now() + limit;
     while clock::now() < until && signals.pending().next().is_none() {
         if stopped.try_recv().is_ok() {
-            info!("stopped; everything was handed over");
+            info!("stopped; all work was handed over");
             return Ok(0);
         }
-        clock::sleep(STOP_LOOK);
+        clock::sleep(STOP_CHECK_INTERVAL);
     }
-    info!("stopped; items under way were cut");
+    info!("stopped; items in flight were cut");
     Ok(3)
 }
--- a/src/batch/host.rs
+++ b/src/batch/host.rs
@@ -12,7 +12,7 @@
 use log::info;
 use serde::Serialize;
 
-use super::items::{self, Lines};
+use super::items::{self, ChunkItems};
 use super::link;
 use super::message::Message;
 use crate::clock;
@@ -31,32 +31,32 @@
 use crate::util::{self, lock};
 use crate::wire::{Key, ToBatch, ToEntry};
 
-const TICK: Duration = Duration::from_millis(20);
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Threads that call the platform and the bulk stores.
-const CLERKS: usize = 8;
-const FLIGHT_STACK_BYTES: usize = 256 * 1024;
-const PATIENCE: Duration = Duration::from_secs(3);
+const WORKER_THREADS: usize = 8;
+const ATTEMPT_STACK_BYTES: usize = 256 * 1024;
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest size of a checkpoint's results that are stored inline, so that small jobs need no bulk
 /// store.
-const INLINE_RESULTS: usize = 256 * 1024;
+const INLINE_RESULTS_BYTES_MAX: usize = 256 * 1024;
 
 /// A blocking call for a worker thread.
-type Work = Box<dyn FnOnce() + Send>;
+type Task = Box<dyn FnOnce() + Send>;
 
 /// State shown on the operators' pages.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Shown {
+pub struct HostStatus {
     pub linked: bool,
     pub totals: Totals,
     pub jobs: usize,
-    pub runs: Vec<ShownRun>,
+    pub runs: Vec<RunStatus>,
     pub in_flight: usize,
     pub windows: u32,
 }
 
 /// A chunk that this process works on.
 #[derive(Debug, Clone, Serialize)]
-pub struct ShownRun {
+pub struct RunStatus {
     pub job: String,
     pub chunk: u32,
     pub open_items: u32,
@@ -64,13 +64,13 @@
 }
 
 /// Clients and tables shared by the threads of the host.
-struct Tools {
+struct Shared {
     platform: Platform,
     segments: Segments,
     engines: Engines,
     sender: Sender<Message>,
     /// In-flight attempts: endpoint address, attempt id, and whether the attempt was cancelled.
-    flights: Mutex<HashMap<AttemptId, (Name, String, bool)>>,
+    attempts: Mutex<HashMap<AttemptId, (Name, String, bool)>>,
     files: Mutex<HashMap<String, Arc<FileRecord>>>,
 }
 
@@ -78,20 +78,20 @@
 pub struct Host {
     settings: settings::Batch,
     key: Key,
-    tools: Arc<Tools>,
+    shared: Arc<Shared>,
     batch: Batch,
     config: Option<Arc<Versioned>>,
     addresses: HashMap<EndpointId, Name>,
-    lines: BTreeMap<ChunkKey, (u64, Arc<Lines>)>,
+    chunk_items: BTreeMap<ChunkKey, (u64, Arc<ChunkItems>)>,
     records: BTreeMap<String, JobRecord>,
     to_entry: Sender<ToEntry>,
     outgoing: Mutex<Option<Receiver<ToEntry>>>,
-    shown: Arc<Mutex<Shown>>,
+    status: Arc<Mutex<HostStatus>>,
     linked: bool,
     stopping: bool,
-    said_ready: Option<OwnerId>,
-    to_clerks: Sender<Work>,
-    clerks: Mutex<Option<Receiver<Work>>>,
+    reported_owner: Option<OwnerId>,
+    to_workers: Sender<Task>,
+    worker_queue: Mutex<Option<Receiver<Task>>>,
 }
 
 impl Host {
@@ -100,7 +100,7 @@
         let key = Key::new(&settings.cluster_key);
         let address = settings.platform_address.to_string();
         let platform = Platform::new(&address, ms(settings.platform_timeout_ms));
-        let tools = Tools {
+        let shared = Shared {
             segments: Segments {
                 platform: platform.clone(),
                 key: key.clone(),
@@ -110,34 +110,34 @@
             platform,
             engines: Engines::new(),
             sender,
-            flights: Mutex::default(),
+            attempts: Mutex::default(),
             files: Mutex::default(),
         };
         let (to_entry, outgoing) = mpsc::channel();
-        let (to_clerks, clerks) = mpsc::channel();
+        let (to_workers, queue) = mpsc::channel();
         Host {
             settings,
             key,
-            tools: Arc::new(tools),
+            shared: Arc::new(shared),
             batch: Batch::new(util::nonce() | 1, util::rng()),
             config: None,
             addresses: HashMap::new(),
-            lines: BTreeMap::new(),
+            chunk_items: BTreeMap::new(),
             records: BTreeMap::new(),
             to_entry,
             outgoing: Mutex::new(Some(outgoing)),
-            shown: Arc::default(),
+            status: Arc::default(),
             linked: false,
             stopping: false,
-            said_ready: None,
-            to_clerks,
-            clerks: Mutex::new(Some(clerks)),
+            reported_owner: None,
+            to_workers,
+            worker_queue: Mutex::new(Some(queue)),
         }
     }
 
     /// The state shown on the operators' pages.
-    pub fn shown(&self) -> Arc<Mutex<Shown>> {
-        self.shown.clone()
+    pub fn status(&self) -> Arc<Mutex<HostStatus>> {
+        self.status.clone()
     }
 
     /// Settings of the link to the entry process; the outgoing messages are handed out only once.
@@ -154,13 +154,13 @@
 
     /// Starts the threads; the receiver gets a message once all work is handed over after a stop.
     pub fn start(mut self, messages: Receiver<Message>) -> io::Result<Receiver<()>> {
-        let clerks = Arc::new(Mutex::new(lock(&self.clerks).take()));
-        for _ in 0..CLERKS {
-            let clerks = clerks.clone();
+        let queue = Arc::new(Mutex::new(lock(&self.worker_queue).take()));
+        for _ in 0..WORKER_THREADS {
+            let queue = queue.clone();
             thread::Builder::new()
                 .name("clerk".into())
                 .spawn(move || loop {
-                    let work = match lock(&clerks).as_ref().map(Receiver::recv) {
+                    let work = match lock(&queue).as_ref().map(Receiver::recv) {
                         Some(Ok(work)) => work,
                         _ => return,
                     };
@@ -172,13 +172,13 @@
             .name("host".into())
             .spawn(move || loop {
                 let mut actions = Vec::new();
-                match messages.recv_timeout(TICK) {
-                    Ok(message) => self.take(message, &mut actions),
+                match messages.recv_timeout(TICK_INTERVAL) {
+                    Ok(message) => self.handle_message(message, &mut actions),
                     Err(RecvTimeoutError::Timeout) => self.batch.tick(clock::now(), &mut actions),
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
-                self.carry_out(actions);
-                self.tidy();
+                self.run_actions(actions);
+                self.publish_status();
                 if self.stopping && self.batch.idle() {
                     let _ = done.send(());
                     return;
@@ -187,14 +187,14 @@
         Ok(stopped)
     }
 
-    fn take(&mut self, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(&mut self, message: Message, out: &mut Vec<Action>) {
         let now = clock::now();
         let mut handle = |batch: &mut Batch, event| batch.handle(now, event, out);
         match message {
             Message::Event(event) => handle(&mut self.batch, event),
             Message::Linked => {
                 self.linked = true;
-                self.said_ready = None;
+                self.reported_owner = None;
                 handle(&mut self.batch, Event::Leave(self.stopping));
             }
             Message::Unlinked => {
@@ -203,9 +203,13 @@
                 self.linked = false;
                 handle(&mut self.batch, Event::Windows(Vec::new()));
             }
-            Message::Lines { key, run, lines } => {
-                let items = lines.planned.clone();
-                self.lines.insert(key.clone(), (run, lines));
+            Message::ChunkLoaded {
+                key,
+                run,
+                chunk_items,
+            } => {
+                let items = chunk_items.planned.clone();
+                self.chunk_items.insert(key.clone(), (run, chunk_items));
                 handle(&mut self.batch, Event::Loaded { key, run, items });
             }
             Message::Stop => {
@@ -222,14 +226,14 @@
                     .map(|s| (s.workspace.clone(), s.batch_share))
                     .collect();
                 self.config = Some(Arc::new(*versioned));
-                let views = self.views(now);
+                let views = self.job_views(now);
                 handle(&mut self.batch, Event::Shares(shares));
                 // The configuration decides which services a job's targets belong to.
                 handle(&mut self.batch, Event::Jobs(views));
             }
             Message::Entry(ToBatch::Jobs(records)) => {
                 self.records = records.into_iter().map(|r| (r.id.to_string(), r)).collect();
-                let views = self.views(now);
+                let views = self.job_views(now);
                 handle(&mut self.batch, Event::Jobs(views));
             }
             Message::Entry(ToBatch::Crew(crew)) => handle(&mut self.batch, Event::Crew(crew)),
@@ -240,37 +244,37 @@
         }
     }
 
-    fn views(&self, now: Duration) -> Vec<JobView> {
+    fn job_views(&self, now: Duration) -> Vec<JobView> {
         let Some(config) = &self.config else {
             return Vec::new();
         };
         self.records
             .values()
-            .map(|record| view(now, record, &config.state))
+            .map(|record| job_view(now, record, &config.state))
             .collect()
     }
 
     /// Reports the state to the entry process and the pages, and drops the lines of ended runs.
-    fn tidy(&mut self) {
+    fn publish_status(&mut self) {
         let batch = &self.batch;
-        self.lines
+        self.chunk_items
             .retain(|key, (run, _)| batch.runs.get(key).is_some_and(|r| r.id == *run));
         // The VM may stop once this process is draining and holds no work; 0 tells the entry
         // process so.
         let busy = !batch.leaving() || !batch.idle();
         let ready = if busy { batch.owner() } else { 0 };
-        if self.linked && self.said_ready != Some(ready) {
-            self.said_ready = Some(ready);
+        if self.linked && self.reported_owner != Some(ready) {
+            self.reported_owner = Some(ready);
             let _ = self.to_entry.send(ToEntry::Ready(ready));
         }
-        let shown = Shown {
+        let status = HostStatus {
             linked: self.linked,
             totals: batch.totals,
             jobs: batch.jobs.len(),
             runs: batch
                 .runs
                 .iter()
-                .map(|(key, run)| ShownRun {
+                .map(|(key, run)| RunStatus {
                     job: key.job.to_string(),
                     chunk: key.chunk,
                     open_items: run.open_items(),
@@ -280,10 +284,10 @@
             in_flight: batch.flights.len(),
             windows: batch.slots.values().map(|slot| slot.window).sum(),
         };
-        *lock(&self.shown) = shown;
+        *lock(&self.status) = status;
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn run_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Start {
@@ -293,16 +297,16 @@
                     item,
                     endpoint,
                 } => {
-                    self.start_flight(flight, &key, epoch, item, endpoint);
+                    self.start_attempt(flight, &key, epoch, item, endpoint);
                 }
                 Action::Cancel { flight } => self.cancel(flight),
-                other => self.clerk(other),
+                other => self.queue_task(other),
             }
         }
     }
 
-    fn clerk(&self, action: Action) {
-        let (tools, config) = (self.tools.clone(), self.config.clone());
+    fn queue_task(&self, action: Action) {
+        let (shared, config) = (self.shared.clone(), self.config.clone());
         let file = match &action {
             Action::Load { key, .. } => self
                 .records
@@ -311,56 +315,69 @@
             _ => None,
         };
         let _ = self
-            .to_clerks
-            .send(Box::new(move || tools.run(action, config, file)));
+            .to_workers
+            .send(Box::new(move || shared.run(action, config, file)));
     }
 
-    fn cancel(&self, flight: AttemptId) {
-        let found = lock(&self.tools.flights).get_mut(&flight).map(|entry| {
-            entry.2 = true;
-            (entry.0.clone(), entry.1.clone())
-        });
+    fn cancel(&self, attempt_id: AttemptId) {
+        let found = lock(&self.shared.attempts)
+            .get_mut(&attempt_id)
+            .map(|entry| {
+                entry.2 = true;
+                (entry.0.clone(), entry.1.clone())
+            });
         let Some((address, attempt)) = found else {
             return;
         };
-        let tools = self.tools.clone();
+        let shared = self.shared.clone();
         // Runs on a thread of its own: a burst of online requests must not wait behind calls to the
         // platform.
         let spawned = thread::Builder::new()
-            .stack_size(FLIGHT_STACK_BYTES)
-            .spawn(move || tools.engines.cancel(&address, &attempt));
+            .stack_size(ATTEMPT_STACK_BYTES)
+            .spawn(move || shared.engines.cancel(&address, &attempt));
         drop(spawned);
     }
 
-    fn start_flight(
+    fn start_attempt(
         &mut self,
-        flight: AttemptId,
+        attempt_id: AttemptId,
         key: &ChunkKey,
         epoch: u64,
         item: u32,
         endpoint: EndpointId,
     ) {
-        let lines = self.lines.get(key).map(|(_, lines)| lines.clone());
+        let chunk_items = self
+            .chunk_items
+            .get(key)
+            .map(|(_, chunk_items)| chunk_items.clone());
         let address = self.addresses.get(&endpoint).cloned();
-        let attempt = format!("{}.{}.{epoch}.{item}.{flight}", key.job, key.chunk);
-        let tools = self.tools.clone();
-        let (Some(lines), Some(address)) = (lines, address) else {
+        let attempt = format!("{}.{}.{epoch}.{item}.{attempt_id}", key.job, key.chunk);
+        let shared = self.shared.clone();
+        let (Some(chunk_items), Some(address)) = (chunk_items, address) else {
             let end = items::not_sent("its endpoint is not configured any more");
-            let _ = tools
-                .sender
-                .send(Message::Event(Event::Ended { flight, end }));
+            let _ = shared.sender.send(Message::Event(Event::Ended {
+                flight: attempt_id,
+                end,
+            }));
             return;
         };
         let name = (address.clone(), attempt.clone(), false);
-        lock(&tools.flights).insert(flight, name);
+        lock(&shared.attempts).insert(attempt_id, name);
         let item_key = format!("{}/{}/{item}", key.job, key.chunk);
-        let sender = tools.sender.clone();
+        let sender = shared.sender.clone();
         let spawned = thread::Builder::new()
-            .stack_size(FLIGHT_STACK_BYTES)
+            .stack_size(ATTEMPT_STACK_BYTES)
             .spawn(move || {
-                let end = items::run(&tools.engines, &lines, item, &address, &attempt, &item_key);
-                let cancelled = lock(&tools.flights)
-                    .remove(&flight)
+                let end = items::run(
+                    &shared.engines,
+                    &chunk_items,
+                    item,
+                    &address,
+                    &attempt,
+                    &item_key,
+                );
+                let cancelled = lock(&shared.attempts)
+                    .remove(&attempt_id)
                     .is_some_and(|entry| entry.2);
                 let end = match end {
                     // An endpoint's death counts although the item was preempted. Otherwise an item
@@ -372,18 +389,22 @@
                     }
                     end => end,
                 };
-                let _ = tools
-                    .sender
-                    .send(Message::Event(Event::Ended { flight, end }));
+                let _ = shared.sender.send(Message::Event(Event::Ended {
+                    flight: attempt_id,
+                    end,
+                }));
             });
         if spawned.is_err() {
             let end = items::not_sent("no thread for it");
-            let _ = sender.send(Message::Event(Event::Ended { flight, end }));
+            let _ = sender.send(Message::Event(Event::Ended {
+                flight: attempt_id,
+                end,
+            }));
         }
     }
 }
 
-fn view(now: Duration, record: &JobRecord, state: &State) -> JobView {
+fn job_view(now: Duration, record: &JobRecord, state: &State) -> JobView {
     let service = |target: &String| match target.split_once(':') {
         Some(("model", name)) => state.service_of_model(name),
         Some((_, name)) => state.service(name),
@@ -405,7 +426,7 @@
     }
 }
 
-impl Tools {
+impl Shared {
     fn run(&self, action: Action, config: Option<Arc<Versioned>>, file: Option<String>) {
         let message = match action {
             Action::Read { key, run } => {
@@ -431,10 +452,10 @@
                 Message::Event(Event::Written { key, run, answer })
             }
             Action::Load { key, run } => match self.load(&key, config, file) {
-                Some(lines) => Message::Lines {
+                Some(chunk_items) => Message::ChunkLoaded {
                     key,
                     run,
-                    lines: Arc::new(lines),
+                    chunk_items: Arc::new(chunk_items),
                 },
                 None => Message::Event(Event::LoadFailed { key, run }),
             },
@@ -476,7 +497,7 @@
         key: &ChunkKey,
         config: Option<Arc<Versioned>>,
         file: Option<String>,
-    ) -> Option<Lines> {
+    ) -> Option<ChunkItems> {
         let (config, file) = (config?, file?);
         let record = self.file(&file)?;
         let segment = record.segments.get(key.chunk as usize)?;
@@ -496,8 +517,8 @@
                 content.extend_from_slice(line);
                 content.push(b'\n');
             }
-            let inline = content.len() <= INLINE_RESULTS || self.segments.bulk.is_empty();
-            for (piece, count) in pieces(content.into(), inline) {
+            let inline = content.len() <= INLINE_RESULTS_BYTES_MAX || self.segments.bulk.is_empty();
+            for (piece, count) in split_results(content.into(), inline) {
                 let segment = self.segments.store(&piece, count, inline).ok()?;
                 segments.push(ResultSegment { segment, errors });
             }
@@ -527,7 +548,7 @@
             return;
         };
         let text = serde_json::to_string(&ended).unwrap_or_default();
-        let until = clock::now() + PATIENCE;
+        let until = clock::now() + COMMIT_TIMEOUT;
         // A conflict needs no retry: either another VM ended the job from the same chunks, or the
         // job was cancelled and the next check ends it.
         if let Settled::Won(_) = self
@@ -542,7 +563,7 @@
 
 /// Splits content at line ends into pieces that fit inline; content for the bulk stores stays
 /// whole.
-fn pieces(content: Bytes, inline: bool) -> Vec<(Bytes, u32)> {
+fn split_results(content: Bytes, inline: bool) -> Vec<(Bytes, u32)> {
     let most = if inline {
         crate::segments::INLINE_BYTES
     } else {
--- a/src/batch/items.rs
+++ b/src/batch/items.rs
@@ -16,7 +16,7 @@
 
 /// One line of an input file.
 #[derive(Deserialize)]
-struct Line<'a> {
+struct InputLine<'a> {
     #[serde(borrow)]
     custom_id: &'a RawValue,
     method: String,
@@ -27,7 +27,7 @@
 
 /// An item as it is sent to an endpoint.
 #[derive(Debug, Clone)]
-struct Sending {
+struct ItemRequest {
     method: String,
     path: String,
     body: Bytes,
@@ -37,43 +37,43 @@
 
 /// The parsed items of one chunk.
 #[derive(Debug)]
-pub struct Lines {
+pub struct ChunkItems {
     pub planned: Vec<PlannedItem>,
     /// Requests by item number; `None` for an invalid line.
-    sendings: Vec<Option<Sending>>,
+    requests: Vec<Option<ItemRequest>>,
 }
 
 /// Parses the lines of a chunk. An invalid line becomes an item that fails with an error result.
-pub fn plan(content: Bytes, state: &State) -> Lines {
-    let mut lines = Lines {
+pub fn plan(content: Bytes, state: &State) -> ChunkItems {
+    let mut items = ChunkItems {
         planned: Vec::new(),
-        sendings: Vec::new(),
+        requests: Vec::new(),
     };
     for text in content
         .split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty())
     {
         let custom_id = custom_id_of(text);
-        match read(&content, text, state) {
-            Ok((service, sending)) => {
+        match parse_line(&content, text, state) {
+            Ok((service, request)) => {
                 let idempotent = service.idempotent;
                 let work = ItemWork::Run {
                     service: id::of(&service.name),
                     idempotent,
                 };
-                lines.planned.push(PlannedItem { custom_id, work });
-                lines.sendings.push(Some(sending));
+                items.planned.push(PlannedItem { custom_id, work });
+                items.requests.push(Some(request));
             }
             Err((code, message)) => {
-                lines.planned.push(PlannedItem {
+                items.planned.push(PlannedItem {
                     custom_id,
                     work: ItemWork::Bad { code, message },
                 });
-                lines.sendings.push(None);
+                items.requests.push(None);
             }
         }
     }
-    lines
+    items
 }
 
 fn custom_id_of(text: &[u8]) -> Bytes {
@@ -83,10 +83,14 @@
 }
 
 /// Error code and message of an invalid line.
-type Bad = (&'static str, String);
+type LineError = (&'static str, String);
 
-fn read<'a>(content: &Bytes, text: &[u8], state: &'a State) -> Result<(&'a Service, Sending), Bad> {
-    let line: Line =
+fn parse_line<'a>(
+    content: &Bytes,
+    text: &[u8],
+    state: &'a State,
+) -> Result<(&'a Service, ItemRequest), LineError> {
+    let line: InputLine =
         serde_json::from_slice(text).map_err(|error| ("invalid_line", error.to_string()))?;
     if !line.custom_id.get().starts_with('"') {
         return Err(("invalid_line", "custom_id is not a string".into()));
@@ -109,7 +113,7 @@
     if !["GET", "POST", "PUT", "DELETE", "PATCH"].contains(&line.method.as_str()) {
         return Err(("invalid_line", format!("method {:?}", line.method)));
     }
-    let sending = Sending {
+    let sending = ItemRequest {
         method: line.method,
         path,
         body,
@@ -141,13 +145,13 @@
 /// Runs one attempt of an item.
 pub fn run(
     engines: &Engines,
-    lines: &Lines,
+    lines: &ChunkItems,
     item: u32,
     address: &str,
     attempt: &str,
     key: &str,
 ) -> AttemptEnd {
-    let Some(Some(sending)) = lines.sendings.get(item as usize) else {
+    let Some(Some(sending)) = lines.requests.get(item as usize) else {
         return not_sent("there is no such item");
     };
     let call = Call {
--- a/src/batch/link.rs
+++ b/src/batch/link.rs
@@ -14,7 +14,7 @@
 use crate::util::lock;
 use crate::wire::{read_frame, write_frame, Key, ToEntry};
 
-const RETRY: Duration = Duration::from_millis(200);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The entry process's address, and the messages for it.
@@ -32,13 +32,13 @@
         outgoing,
     } = settings;
     let writer: Arc<Mutex<Option<TcpStream>>> = Arc::default();
-    let (own_writer, own_key) = (writer.clone(), key.clone());
+    let (thread_writer, thread_key) = (writer.clone(), key.clone());
     thread::Builder::new()
         .name("to-entry".into())
         .spawn(move || {
             while let Ok(message) = outgoing.recv() {
-                if let Some(stream) = lock(&own_writer).as_mut() {
-                    let _ = write_frame(stream, &own_key, &message);
+                if let Some(stream) = lock(&thread_writer).as_mut() {
+                    let _ = write_frame(stream, &thread_key, &message);
                 }
             }
         })?;
@@ -54,7 +54,7 @@
                 warn!("link to the entry process lost");
                 let _ = sender.send(Message::Unlinked);
             }
-            clock::sleep(RETRY);
+            clock::sleep(RECONNECT_INTERVAL);
         })?;
     Ok(())
 }
--- a/src/batch/message.rs
+++ b/src/batch/message.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::items::Lines;
+use super::items::ChunkItems;
 use crate::decide::batch::{ChunkKey, Event};
 use crate::wire::ToBatch;
 
@@ -14,10 +14,10 @@
     Entry(ToBatch),
     Event(Event),
     /// The lines of a chunk were loaded, for [`Event::Loaded`].
-    Lines {
+    ChunkLoaded {
         key: ChunkKey,
         run: u64,
-        lines: Arc<Lines>,
+        chunk_items: Arc<ChunkItems>,
     },
     Stop,
 }
