--- a/src/bulk.rs
+++ b/src/bulk.rs
@@ -24,8 +24,8 @@
 use crate::wire::{Key, PeerAsk, PeerReply};
 
 const THREADS: usize = 2;
-const STOP_LOOK: Duration = Duration::from_millis(20);
-const SWEEP: Duration = Duration::from_secs(60);
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(60);
 
 /// Why the process could not start.
 #[derive(Debug, Snafu)]
@@ -60,10 +60,10 @@
     serve_pages(&store, operators).context(StartSnafu {
         what: "operators_address",
     })?;
-    start_care(&store, &settings).context(StartSnafu { what: "threads" })?;
+    start_maintenance(&store, &settings).context(StartSnafu { what: "threads" })?;
     info!(pieces = store.count(); "started");
     while signals.pending().next().is_none() {
-        clock::sleep(STOP_LOOK);
+        clock::sleep(STOP_CHECK_INTERVAL);
     }
     info!("stopped; nothing was cut");
     Ok(0)
@@ -71,8 +71,8 @@
 
 fn serve_pages(store: &Arc<Store>, listener: std::net::TcpListener) -> io::Result<()> {
     let registry = Metrics::default();
-    let bytes = registry.gauge("bramley_bulk_bytes", "Bytes kept.");
-    let pieces = registry.gauge("bramley_bulk_pieces", "Pieces kept.");
+    let bytes = registry.gauge("bramley_bulk_bytes", "Bytes stored.");
+    let pieces = registry.gauge("bramley_bulk_pieces", "Pieces stored.");
     let store = store.clone();
     pages::serve(listener, THREADS, move |request| {
         let page = match request.url() {
@@ -98,25 +98,25 @@
 }
 
 /// Starts the threads that repair missing copies and remove expired content.
-fn start_care(store: &Arc<Store>, settings: &settings::Bulk) -> io::Result<()> {
-    let (repairing, own) = (store.clone(), settings.clone());
+fn start_maintenance(store: &Arc<Store>, settings: &settings::Bulk) -> io::Result<()> {
+    let (repairing, repair_settings) = (store.clone(), settings.clone());
     thread::Builder::new()
         .name("repair".into())
         .spawn(move || loop {
-            clock::sleep(ms(own.repair_ms));
-            let made = repair::round(&repairing, &own);
-            if made > 0 {
-                info!(copies = made; "copies made");
+            clock::sleep(ms(repair_settings.repair_ms));
+            let copied = repair::repair_all(&repairing, &repair_settings);
+            if copied > 0 {
+                info!(copies = copied; "copies made");
             }
         })?;
     let (sweeping, retention) = (store.clone(), Duration::from_secs(settings.retention_s));
     thread::Builder::new()
         .name("sweep".into())
         .spawn(move || loop {
-            clock::sleep(SWEEP);
+            clock::sleep(SWEEP_INTERVAL);
             let removed = sweeping.remove_older(clock::unix(), retention);
             if removed > 0 {
-                info!(removed; "pieces past their retention removed");
+                info!(removed; "expired pieces removed");
             }
         })?;
     Ok(())
@@ -127,7 +127,7 @@
         PeerAsk::Put { digest, content } => match store.put(&digest, &content) {
             Ok(()) => PeerReply::Kept,
             Err(error) => {
-                warn!("a piece was refused: {error}");
+                warn!("piece refused: {error}");
                 PeerReply::Refused(error.to_string())
             }
         },
@@ -135,6 +135,6 @@
         PeerAsk::Has { digests } => {
             PeerReply::Has(digests.iter().map(|digest| store.has(digest)).collect())
         }
-        _ => PeerReply::Refused("this process keeps content only".into()),
+        _ => PeerReply::Refused("this process stores content only".into()),
     }
 }
--- a/src/bulk/repair.rs
+++ b/src/bulk/repair.rs
@@ -9,16 +9,16 @@
 use crate::settings::{Bulk, BulkPeer};
 use crate::wire::{Key, PeerAsk, PeerReply};
 
-const TIMEOUT: Duration = Duration::from_secs(5);
+const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Digests per request.
-const ASKED_AT_ONCE: usize = 10_000;
+const DIGESTS_PER_REQUEST_MAX: usize = 10_000;
 
 /// Checks all local pieces once; returns the number of copies made.
 ///
 /// Of the holders that answer, only the first by rank makes copies, so that a loss is not repaired
 /// by all of them at once. Two holders that can't reach each other may both make one: a surplus
 /// copy is harmless.
-pub fn round(store: &Store, settings: &Bulk) -> usize {
+pub fn repair_all(store: &Store, settings: &Bulk) -> usize {
     let key = Key::new(&settings.cluster_key);
     let mut digests = store.digests();
     digests.sort();
@@ -28,12 +28,12 @@
         .filter(|peer| peer.name != settings.name)
         .collect();
     digests
-        .chunks(ASKED_AT_ONCE)
-        .map(|part| repair(store, settings, &key, &others, part))
+        .chunks(DIGESTS_PER_REQUEST_MAX)
+        .map(|part| repair_batch(store, settings, &key, &others, part))
         .sum()
 }
 
-fn repair(
+fn repair_batch(
     store: &Store,
     settings: &Bulk,
     key: &Key,
@@ -45,12 +45,14 @@
     };
     let answers: Vec<(&BulkPeer, Vec<bool>)> = others
         .iter()
-        .filter_map(|peer| match peer::call(peer.address, key, &ask, TIMEOUT) {
-            Ok(PeerReply::Has(has)) if has.len() == digests.len() => Some((*peer, has)),
-            _ => None,
-        })
+        .filter_map(
+            |peer| match peer::call(peer.address, key, &ask, PEER_TIMEOUT) {
+                Ok(PeerReply::Has(has)) if has.len() == digests.len() => Some((*peer, has)),
+                _ => None,
+            },
+        )
         .collect();
-    let mut made = 0;
+    let mut copied = 0;
     for (at, digest) in digests.iter().enumerate() {
         let holders: Vec<&BulkPeer> = answers
             .iter()
@@ -68,7 +70,7 @@
             continue;
         }
         let reachable: Vec<&BulkPeer> = answers.iter().map(|(peer, _)| *peer).collect();
-        made += copy(
+        copied += copy(
             store,
             key,
             digest,
@@ -77,7 +79,7 @@
             settings.bulk_copies,
         );
     }
-    made
+    copied
 }
 
 fn copy<'a>(
@@ -95,7 +97,7 @@
         id::of(digest),
         reachable.iter().map(|peer| id::of(&peer.name)),
     );
-    let mut made = 0;
+    let mut copied = 0;
     for number in order {
         let peer = reachable.iter().find(|peer| id::of(&peer.name) == number);
         let Some(peer) = peer.filter(|peer| !domains.contains(&peer.failure_domain)) else {
@@ -109,12 +111,12 @@
             content: content.clone(),
         };
         if matches!(
-            peer::call(peer.address, key, &ask, TIMEOUT),
+            peer::call(peer.address, key, &ask, PEER_TIMEOUT),
             Ok(PeerReply::Kept)
         ) {
             domains.insert(&peer.failure_domain);
-            made += 1;
+            copied += 1;
         }
     }
-    made
+    copied
 }
--- a/src/bulk/store.rs
+++ b/src/bulk/store.rs
@@ -17,11 +17,11 @@
 /// Why a piece was not stored.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    #[snafu(display("the content does not have the digest {digest}"))]
+    #[snafu(display("the content does not match the digest {digest}"))]
     Digest { digest: String },
-    #[snafu(display("no room: {kept} of {most} bytes are used"))]
-    Full { kept: u64, most: u64 },
-    #[snafu(display("the disk failed: {source}"))]
+    #[snafu(display("size limit reached: {used} of {max} bytes are used"))]
+    Full { used: u64, max: u64 },
+    #[snafu(display("disk error: {source}"))]
     Disk { source: io::Error },
 }
 
@@ -89,17 +89,17 @@
         if self.has(digest) {
             return Ok(());
         }
-        let kept = self.bytes();
-        if kept + content.len() as u64 > self.max_bytes {
+        let used = self.bytes();
+        if used + content.len() as u64 > self.max_bytes {
             return FullSnafu {
-                kept,
-                most: self.max_bytes,
+                used,
+                max: self.max_bytes,
             }
             .fail();
         }
         let number = self.next_temporary.fetch_add(1, Ordering::SeqCst);
         let part = self.folder.join(format!("{digest}.{number}.part"));
-        if let Err(source) = self.write(&part, digest, content) {
+        if let Err(source) = self.write_file(&part, digest, content) {
             let _ = fs::remove_file(&part);
             return Err(Error::Disk { source });
         }
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    fn write(&self, part: &Path, digest: &str, content: &[u8]) -> io::Result<()> {
+    fn write_file(&self, part: &Path, digest: &str, content: &[u8]) -> io::Result<()> {
         let mut file = File::create(part)?;
         file.write_all(content)?;
         file.sync_all()?;
