--- a/tests/endpoint_processes.rs
+++ b/tests/endpoint_processes.rs
@@ -38,7 +38,7 @@
     discovery.apply_entry(ms(at), id::of(NAME), entry(incarnation, draining), at)
 }
 
-fn used(discovery: &Discovery) -> Vec<u64> {
+fn used_endpoints(discovery: &Discovery) -> Vec<u64> {
     let rows = discovery.declared().into_iter();
     let rows = rows.filter(|(.., draining)| !draining);
     rows.map(|(id, ..)| id).collect()
@@ -56,10 +56,10 @@
     write(&mut discovery, Some(START_MS), false, 1);
     write(&mut discovery, Some(START_MS + 1), true, 2);
     assert!(!write(&mut discovery, Some(START_MS), false, 3));
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
     discovery.apply_removal(ms(4), id::of(NAME), 4);
     write(&mut discovery, Some(START_MS), false, 5);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
 }
 
 // The engine's clock was set back while it was down, so its new process has the earlier start time.
@@ -69,7 +69,7 @@
     let mut discovery = Discovery::default();
     write(&mut discovery, Some(START_MS), true, 1);
     assert!(write(&mut discovery, Some(START_MS - 2000), false, 2));
-    assert_eq!(used(&discovery), [process(START_MS - 2000)]);
+    assert_eq!(used_endpoints(&discovery), [process(START_MS - 2000)]);
 }
 
 // Another writer's entry gives an engine a start time that it never had. The engine's own next
@@ -80,7 +80,7 @@
     write(&mut discovery, Some(START_MS), false, 1);
     write(&mut discovery, Some(5), false, 2);
     write(&mut discovery, Some(START_MS), false, 3);
-    assert_eq!(used(&discovery), [process(START_MS)]);
+    assert_eq!(used_endpoints(&discovery), [process(START_MS)]);
 }
 
 // An engine whose entries carry start times drains; then an entry without a start time says that it
@@ -90,9 +90,9 @@
     let mut discovery = Discovery::default();
     write(&mut discovery, Some(START_MS), true, 1);
     write(&mut discovery, None, false, 2);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
     write(&mut discovery, Some(START_MS), false, 3);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
 }
 
 // A VM that has just reconnected to the store gets a delayed snapshot with an engine that has ended
@@ -108,7 +108,7 @@
         lapsing: None,
     };
     discovery.apply_snapshot(ms(1), [known], 7, SnapshotSource::Store);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
 }
 
 // The other VM keeps, as lapsed, the entry of a process that this VM has no entry of yet. This VM
@@ -123,21 +123,21 @@
     ahead.store_failed(ms(1_000), ms(1_000) - OUTAGE_MIN, false);
     ahead.apply_removal(ms(1_100), id::of(NAME), 3);
     behind.apply_snapshot(ms(1_200), ahead.export(ms(1_200)), 3, SnapshotSource::Peer);
-    assert!(used(&behind).is_empty());
+    assert!(used_endpoints(&behind).is_empty());
 }
 
 // A process does not inherit its predecessor's requests in flight, failures or ejection.
 #[test]
 fn counts_anew() {
     let mut endpoints = Endpoints::default();
-    let declare = |endpoints: &mut Endpoints, start| {
+    let configure = |endpoints: &mut Endpoints, start| {
         let entry = entry(Some(start), false);
         endpoints.configure([(entry.endpoint(), entry.declared())]);
     };
-    declare(&mut endpoints, START_MS);
+    configure(&mut endpoints, START_MS);
     endpoints.rows[0].online_here = 8;
     endpoints.rows[0].eject(ms(10));
-    declare(&mut endpoints, START_MS + 1);
+    configure(&mut endpoints, START_MS + 1);
     assert_eq!(endpoints.rows[0].online_here, 0);
     assert!(endpoints.rows[0].usable(ms(11)));
 }
@@ -148,40 +148,40 @@
 enum Step {
     Starts,
     Drains,
-    Goes,
+    Ends,
     /// The engine writes its entry again, as it does when it finds another writer's entry in its
     /// place.
-    Writes,
+    Rewrites,
     /// Another writer stores an unusable entry.
-    Spoilt,
+    Spoils,
     /// The VM receives no changes from now on.
-    Deaf,
+    Disconnects,
     /// An earlier change arrives again.
-    Again(u8),
+    Redelivers(u8),
     /// The VM reads all entries.
-    Reads,
+    ReadsAll,
     /// The VM gets a snapshot from another VM, which has received every change.
-    Told,
+    PeerSnapshot,
     /// A call to the store fails.
-    Fails,
+    StoreFails,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let again = Step::Again(u8::arbitrary(g));
+        let again = Step::Redelivers(u8::arbitrary(g));
         let steps = [
             Step::Starts,
             Step::Starts,
             Step::Drains,
-            Step::Goes,
-            Step::Writes,
-            Step::Spoilt,
-            Step::Deaf,
+            Step::Ends,
+            Step::Rewrites,
+            Step::Spoils,
+            Step::Disconnects,
             again,
             again,
-            Step::Reads,
-            Step::Told,
-            Step::Fails,
+            Step::ReadsAll,
+            Step::PeerSnapshot,
+            Step::StoreFails,
         ];
         *g.choose(&steps).unwrap_or(&Step::Starts)
     }
@@ -189,119 +189,130 @@
 
 /// One change of the entry in the store.
 #[derive(Debug, Clone)]
-enum Word {
+enum StoreChange {
     Entry(Registration),
-    Gone,
-    Spoilt,
+    Removed,
+    Unusable,
 }
 
-fn take(discovery: &mut Discovery, now: Duration, word: &Word, revision: Revision) {
+fn deliver(discovery: &mut Discovery, now: Duration, change: &StoreChange, revision: Revision) {
     let id = id::of(NAME);
-    match word {
-        Word::Entry(entry) => discovery.apply_entry(now, id, entry.clone(), revision),
-        Word::Gone => discovery.apply_removal(now, id, revision),
-        Word::Spoilt => discovery.apply_unusable(now, id, revision),
+    match change {
+        StoreChange::Entry(entry) => discovery.apply_entry(now, id, entry.clone(), revision),
+        StoreChange::Removed => discovery.apply_removal(now, id, revision),
+        StoreChange::Unusable => discovery.apply_unusable(now, id, revision),
     };
 }
 
-fn read_all(discovery: &mut Discovery, now: Duration, words: &[Word]) {
-    let at = words.len() as Revision;
+fn read_all(discovery: &mut Discovery, now: Duration, changes: &[StoreChange]) {
+    let at = changes.len() as Revision;
     let mut listed = Vec::new();
-    match words.last() {
-        Some(Word::Entry(entry)) => listed.push(KnownEntry {
+    match changes.last() {
+        Some(StoreChange::Entry(entry)) => listed.push(KnownEntry {
             id: id::of(NAME),
             entry: entry.clone(),
             revision: at,
             lapsing: None,
         }),
-        Some(Word::Spoilt) => {
+        Some(StoreChange::Unusable) => {
             discovery.apply_unusable(now, id::of(NAME), at);
         }
-        Some(Word::Gone) | None => {}
+        Some(StoreChange::Removed) | None => {}
     }
     discovery.apply_snapshot(now, listed, at, SnapshotSource::Store);
 }
 
 /// The next change of the store, if the step makes one: a process may drain before it is removed,
 /// and starts only when no other process has an entry.
-fn next_word(step: Step, standing: &mut Option<Registration>, starts: &mut u64) -> Option<Word> {
+fn next_change(
+    step: Step,
+    stored: &mut Option<Registration>,
+    starts: &mut u64,
+) -> Option<StoreChange> {
     match step {
-        Step::Starts if standing.is_none() => {
+        Step::Starts if stored.is_none() => {
             *starts += 1;
-            *standing = Some(entry(Some(START_MS + *starts), false));
+            *stored = Some(entry(Some(START_MS + *starts), false));
         }
-        Step::Drains if standing.is_some() => {
-            standing.iter_mut().for_each(|entry| entry.draining = true);
+        Step::Drains if stored.is_some() => {
+            stored.iter_mut().for_each(|entry| entry.draining = true);
         }
-        Step::Goes if standing.is_some() => {
-            *standing = None;
-            return Some(Word::Gone);
+        Step::Ends if stored.is_some() => {
+            *stored = None;
+            return Some(StoreChange::Removed);
         }
-        Step::Writes if standing.is_some() => {}
-        Step::Spoilt if standing.is_some() => return Some(Word::Spoilt),
+        Step::Rewrites if stored.is_some() => {}
+        Step::Spoils if stored.is_some() => return Some(StoreChange::Unusable),
         _ => return None,
     }
-    standing.clone().map(Word::Entry)
+    stored.clone().map(StoreChange::Entry)
 }
 
 /// Changes may arrive late, twice, not at all, through another VM, or during an outage. A VM that
 /// has seen a process drain never uses it again. Once the VM has read all entries and the time of
 /// an outage is over, it uses exactly the endpoint that the store's last change names.
-fn last_word_holds(steps: Vec<Step>) -> bool {
+fn uses_last_change(steps: Vec<Step>) -> bool {
     let (mut vm, mut other) = (Discovery::default(), Discovery::default());
-    let (mut words, mut standing, mut starts) = (Vec::<Word>::new(), None, 0);
-    let (mut drained, mut heard) = (Vec::<u64>::new(), Vec::<u64>::new());
-    let (mut now, mut deaf) = (ms(1_000), false);
+    let (mut changes, mut stored, mut starts) = (Vec::<StoreChange>::new(), None, 0);
+    let (mut drained, mut seen_drained) = (Vec::<u64>::new(), Vec::<u64>::new());
+    let (mut now, mut disconnected) = (ms(1_000), false);
     for step in steps {
         now += ms(50);
-        if let Some(word) = next_word(step, &mut standing, &mut starts) {
-            words.push(word.clone());
-            let at = words.len() as Revision;
-            take(&mut other, now, &word, at);
-            if !deaf {
-                take(&mut vm, now, &word, at);
+        if let Some(change) = next_change(step, &mut stored, &mut starts) {
+            changes.push(change.clone());
+            let at = changes.len() as Revision;
+            deliver(&mut other, now, &change, at);
+            if !disconnected {
+                deliver(&mut vm, now, &change, at);
             }
-            if let Word::Entry(entry) = word {
+            if let StoreChange::Entry(entry) = change {
                 let drains = entry.draining.then(|| entry.endpoint());
                 drained.extend(drains);
-                heard.extend(drains.filter(|_| !deaf));
+                seen_drained.extend(drains.filter(|_| !disconnected));
             }
         }
         match step {
-            Step::Again(pick) if !words.is_empty() => {
-                let at = usize::from(pick) % words.len();
-                take(&mut vm, now, &words[at].clone(), at as Revision + 1);
+            Step::Redelivers(pick) if !changes.is_empty() => {
+                let at = usize::from(pick) % changes.len();
+                deliver(&mut vm, now, &changes[at].clone(), at as Revision + 1);
             }
-            Step::Reads => {
-                read_all(&mut vm, now, &words);
+            Step::ReadsAll => {
+                read_all(&mut vm, now, &changes);
                 // A removed entry does not show whether its process had drained.
-                heard.extend(drained.iter().filter(|id| !used(&vm).contains(id)));
-                deaf = false;
+                seen_drained.extend(
+                    drained
+                        .iter()
+                        .filter(|id| !used_endpoints(&vm).contains(id)),
+                );
+                disconnected = false;
             }
-            Step::Told if other.revision > vm.revision => {
-                let told = other.export(now);
-                vm.apply_snapshot(now, told, other.revision, SnapshotSource::Peer);
-                heard.clone_from(&drained);
+            Step::PeerSnapshot if other.revision > vm.revision => {
+                let entries = other.export(now);
+                vm.apply_snapshot(now, entries, other.revision, SnapshotSource::Peer);
+                seen_drained.clone_from(&drained);
             }
-            Step::Deaf => deaf = true,
-            Step::Fails => vm.store_failed(now, now - OUTAGE_MIN, false),
+            Step::Disconnects => disconnected = true,
+            Step::StoreFails => vm.store_failed(now, now - OUTAGE_MIN, false),
             _ => {}
         }
-        if used(&vm).iter().any(|used| heard.contains(used)) {
+        if used_endpoints(&vm)
+            .iter()
+            .any(|used| seen_drained.contains(used))
+        {
             return false;
         }
     }
-    read_all(&mut vm, now, &words);
+    read_all(&mut vm, now, &changes);
     vm.tick(now + RETURN_GRACE);
-    let named = match words.last() {
-        Some(Word::Entry(entry)) if !entry.draining => vec![entry.endpoint()],
+    let named = match changes.last() {
+        Some(StoreChange::Entry(entry)) if !entry.draining => vec![entry.endpoint()],
         _ => Vec::new(),
     };
-    used(&vm) == named
+    used_endpoints(&vm) == named
 }
 
 #[test]
 fn last_word() {
-    let steps = last_word_holds as fn(Vec<Step>) -> bool;
+    let steps = uses_last_change as fn(Vec<Step>) -> bool;
     QuickCheck::new().tests(5_000).quickcheck(steps);
 }
--- a/tests/vm_failures.rs
+++ b/tests/vm_failures.rs
@@ -8,10 +8,10 @@
 use bramleyseam::standin::fleet::{chat_lines, Fleet, Plan};
 use serde_json::{json, Value};
 
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// Each test starts many processes, so only one runs at a time.
-static ONE: Mutex<()> = Mutex::new(());
+static SERIAL: Mutex<()> = Mutex::new(());
 
 fn plan() -> Plan {
     let behaviour = json!({ "step_us": 10_000 });
@@ -40,8 +40,8 @@
     distinct
 }
 
-fn completed(fleet: &Fleet, entry: usize, job: &str, items: usize) {
-    let shown = fleet.wait_job(entry, job, PATIENCE);
+fn assert_completed(fleet: &Fleet, entry: usize, job: &str, items: usize) {
+    let shown = fleet.wait_job(entry, job, WAIT_TIMEOUT);
     let wanted = json!({ "total": items, "completed": items, "failed": 0 });
     if shown["request_counts"] != wanted {
         fleet
@@ -64,19 +64,20 @@
 // other VMs find and complete the job.
 #[test]
 fn vm_lost() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start("vm-lost", &plan()).unwrap();
     let job = fleet.send_job(0, &chat_lines(150, 6)).unwrap();
     fleet.entries[0].kill();
     fleet.batches[0].kill();
-    completed(&fleet, 1, &job, 150);
+    assert_completed(&fleet, 1, &job, 150);
 }
 
-// A batch process is killed with items in flight. Another VM takes its chunks over once membership
-// has dropped it; items without a committed result run again, and each item has one result.
+// A batch process and the entry process of another VM are killed with items in flight. Another VM
+// takes the chunks over once membership has dropped their owner; items without a committed result
+// run again, and each item has one result.
 #[test]
 fn batch_killed() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start("batch-killed", &plan()).unwrap();
     let job = fleet.send_job(0, &chat_lines(300, 20)).unwrap();
     clock::sleep(Duration::from_millis(400));
@@ -85,14 +86,14 @@
     clock::sleep(Duration::from_millis(400));
     let folder = fleet.folder.clone();
     fleet.batches[1].restart(&folder).unwrap();
-    completed(&fleet, 0, &job, 300);
+    assert_completed(&fleet, 0, &job, 300);
 }
 
 // A VM is frozen until its chunks have been taken over, then continues. It still holds its old
 // state and commits, but its epoch is outdated and the record has changed, so no item counts twice.
 #[test]
 fn paused_owner() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let fleet = Fleet::start("paused-owner", &plan()).unwrap();
     let job = fleet.send_job(0, &chat_lines(300, 30)).unwrap();
     clock::sleep(Duration::from_millis(500));
@@ -101,14 +102,14 @@
     clock::sleep(Duration::from_secs(4));
     fleet.entries[2].resume();
     fleet.batches[2].resume();
-    completed(&fleet, 0, &job, 300);
+    assert_completed(&fleet, 0, &job, 300);
 }
 
 // The platform is unavailable while a job runs, and then loses the answers to claims, checkpoints
 // and the job's end after they took effect. The job completes with one result per item.
 #[test]
 fn platform_fails() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let fleet = Fleet::start("platform-fails", &plan()).unwrap();
     let job = fleet.send_job(0, &chat_lines(300, 20)).unwrap();
     let platform = fleet.platform_process();
@@ -116,14 +117,14 @@
     platform.control(json!({ "outage": true }));
     clock::sleep(Duration::from_secs(2));
     platform.control(json!({ "lose_answers": 12, "delay_ms": 30 }));
-    completed(&fleet, 0, &job, 300);
+    assert_completed(&fleet, 0, &job, 300);
 }
 
 // The answer to the write of the job's record is lost, and the client sends the job again to
 // another VM. It is the same job: it gets the same id and runs once.
 #[test]
 fn job_resent() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let fleet = Fleet::start("job-resent", &plan()).unwrap();
     let platform = fleet.platform_process();
     platform.control(json!({ "lose_answers": 1, "lose_prefix": "live/job/" }));
@@ -142,17 +143,17 @@
         .ask(2, "POST", "/v1/batches", &body.to_string())
         .unwrap();
     assert_eq!(again.header("Idempotent-Replayed"), Some("true"));
-    completed(&fleet, 1, &first, 60);
+    assert_completed(&fleet, 1, &first, 60);
     let jobs = fleet.ask(0, "GET", "/v1/batches", "").unwrap().json();
     assert_eq!(jobs["data"].as_array().unwrap().len(), 1);
 }
 
 // A job is cancelled while it runs. One second after the acknowledgement no new item reaches an
 // engine and the streams of its items have ended. Results committed before can be read, and the job
-// stays cancelled although a VM is killed right afterwards.
+// stays cancelled although a batch process is killed right after the acknowledgement.
 #[test]
 fn job_cancelled() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start("job-cancelled", &plan()).unwrap();
     let job = fleet.send_job(0, &chat_lines(900, 30)).unwrap();
     clock::sleep(Duration::from_millis(1500));
@@ -170,7 +171,7 @@
             .sum()
     };
     let before = requests(&fleet);
-    let shown = fleet.wait_job(0, &job, PATIENCE);
+    let shown = fleet.wait_job(0, &job, WAIT_TIMEOUT);
     assert_eq!(shown["status"], "cancelled", "{shown}");
     assert_eq!(
         requests(&fleet),
@@ -193,7 +194,7 @@
 // twice.
 #[test]
 fn orders_once() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start("orders-once", &plan()).unwrap();
     fleet.services[0].control(json!({ "delay_ms": 150 }));
     let job = send_orders(&fleet, 200);
@@ -206,7 +207,7 @@
         .batches
         .iter_mut()
         .for_each(|batch| batch.restart(&folder).unwrap());
-    let shown = fleet.wait_job(0, job, PATIENCE);
+    let shown = fleet.wait_job(0, job, WAIT_TIMEOUT);
     if shown["status"] != "completed" {
         fleet
             .batches
@@ -244,7 +245,7 @@
 // The client sends the call again to the other VMs and gets "outcome unknown"; the call runs once.
 #[test]
 fn renewal_once() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start(
         "renewal-once",
         &Plan {
@@ -300,7 +301,7 @@
 // with the code for "nothing was cut".
 #[test]
 fn rolling_restart() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start("rolling", &plan()).unwrap();
     let job = fleet.send_job(0, &chat_lines(400, 20)).unwrap();
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
@@ -316,18 +317,18 @@
         fleet.batches[at].terminate();
         fleet.entries[at].terminate();
         assert_eq!(
-            fleet.entries[at].wait(PATIENCE),
+            fleet.entries[at].wait(WAIT_TIMEOUT),
             Some(0),
             "entry {at} cut requests"
         );
         assert_eq!(
-            fleet.batches[at].wait(PATIENCE),
+            fleet.batches[at].wait(WAIT_TIMEOUT),
             Some(0),
             "batch {at} cut items"
         );
         fleet.entries[at].restart(&folder).unwrap();
         fleet.batches[at].restart(&folder).unwrap();
-        fleet.wait_ready(PATIENCE).unwrap();
+        fleet.wait_ready(WAIT_TIMEOUT).unwrap();
     }
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
     let done: u32 = callers
@@ -335,7 +336,7 @@
         .map(|caller| caller.join().unwrap())
         .sum();
     assert!(done > 50, "{done} calls");
-    completed(&fleet, 0, &job, 400);
+    assert_completed(&fleet, 0, &job, 400);
 }
 
 fn balanced_calls(
@@ -382,7 +383,7 @@
 // started: all complete, none runs twice and none ends as unknown.
 #[test]
 fn orders_handed_over() {
-    let _one = ONE.lock();
+    let _serial = SERIAL.lock();
     let mut fleet = Fleet::start("handed-over", &plan()).unwrap();
     fleet.services[0].control(json!({ "delay_ms": 100 }));
     let job = send_orders(&fleet, 150);
@@ -390,10 +391,10 @@
     let folder = fleet.folder.clone();
     for batch in &mut fleet.batches {
         batch.terminate();
-        assert_eq!(batch.wait(PATIENCE), Some(0));
+        assert_eq!(batch.wait(WAIT_TIMEOUT), Some(0));
         batch.restart(&folder).unwrap();
     }
-    let shown = fleet.wait_job(0, &job, PATIENCE);
+    let shown = fleet.wait_job(0, &job, WAIT_TIMEOUT);
     let wanted = json!({ "total": 150, "completed": 150, "failed": 0 });
     assert_eq!(shown["request_counts"], wanted, "{shown}");
     let executions = fleet.services[0].stats();
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! Requests and jobs through all processes, each run separately.
+//! End-to-end requests and jobs through separate processes.
 
 use std::io::{BufRead, BufReader};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use bramleyseam::standin::fleet::{chat_lines, Fleet, Plan, KEYS};
 use serde_json::{json, Value};
 
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 fn chat(prompt: &str, tokens: u64, stream: bool) -> String {
     json!({
@@ -90,7 +90,7 @@
     let mut lines = chat_lines(60, 4);
     lines.push_str("this is no item\n");
     let job = fleet.send_job(0, &lines).unwrap();
-    let shown = fleet.wait_job(0, &job, PATIENCE);
+    let shown = fleet.wait_job(0, &job, WAIT_TIMEOUT);
     assert_eq!(shown["status"], "completed", "{shown}");
     assert_eq!(
         shown["request_counts"],
