--- a/src/batch/host.rs
+++ b/src/batch/host.rs
@@ -1,4 +1,5 @@
-//! Drives the deciding functions of batch work: events in, actions carried out.
+//! Event loop of the batch process: feeds events to the decision functions and carries out their
+//! actions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -11,7 +12,7 @@
 use log::info;
 use serde::Serialize;
 
-use super::items::{self, Lines};
+use super::items::{self, ChunkItems};
 use super::link;
 use super::message::Message;
 use crate::clock;
@@ -30,75 +31,76 @@
 use crate::util::{self, lock};
 use crate::wire::{Key, ToBatch, ToEntry};
 
-const TICK: Duration = Duration::from_millis(20);
-/// Threads that talk to the platform and the disks.
-const CLERKS: usize = 8;
-const FLIGHT_STACK_BYTES: usize = 256 * 1024;
-const PATIENCE: Duration = Duration::from_secs(3);
-/// Results of a checkpoint go inline up to this size, so that small jobs need no disk.
-const INLINE_RESULTS: usize = 256 * 1024;
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Threads that call the platform and the bulk stores.
+const WORKER_THREADS: usize = 8;
+const ATTEMPT_STACK_BYTES: usize = 256 * 1024;
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Largest size of a checkpoint's results that are stored inline, so that small jobs need no bulk
+/// store.
+const INLINE_RESULTS_BYTES_MAX: usize = 256 * 1024;
 
-/// What a clerk does next.
-type Work = Box<dyn FnOnce() + Send>;
+/// A blocking call for a worker thread.
+type Task = Box<dyn FnOnce() + Send>;
 
-/// What the pages show.
+/// State shown on the operators' pages.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct Shown {
+pub struct HostStatus {
     pub linked: bool,
     pub totals: Totals,
     pub jobs: usize,
-    pub runs: Vec<ShownRun>,
+    pub runs: Vec<RunStatus>,
     pub in_flight: usize,
     pub windows: u32,
 }
 
-/// One chunk in hand.
+/// A chunk that this process works on.
 #[derive(Debug, Clone, Serialize)]
-pub struct ShownRun {
+pub struct RunStatus {
     pub job: String,
     pub chunk: u32,
     pub open_items: u32,
     pub waits_for: &'static str,
 }
 
-/// What threads of the host share.
-struct Tools {
+/// Clients and tables shared by the threads of the host.
+struct Shared {
     platform: Platform,
     segments: Segments,
     engines: Engines,
     sender: Sender<Message>,
-    /// Tries under way: endpoint address and attempt id, and whether they were cancelled.
-    flights: Mutex<HashMap<AttemptId, (Name, String, bool)>>,
+    /// In-flight attempts: endpoint address, attempt id, and whether the attempt was cancelled.
+    attempts: Mutex<HashMap<AttemptId, (Name, String, bool)>>,
     files: Mutex<HashMap<String, Arc<FileRecord>>>,
 }
 
-/// The process's state.
+/// State of the batch process.
 pub struct Host {
     settings: settings::Batch,
     key: Key,
-    tools: Arc<Tools>,
+    shared: Arc<Shared>,
     batch: Batch,
     config: Option<Arc<Versioned>>,
     addresses: HashMap<EndpointId, Name>,
-    lines: BTreeMap<ChunkKey, (u64, Arc<Lines>)>,
+    chunk_items: BTreeMap<ChunkKey, (u64, Arc<ChunkItems>)>,
     records: BTreeMap<String, JobRecord>,
     to_entry: Sender<ToEntry>,
     outgoing: Mutex<Option<Receiver<ToEntry>>>,
-    shown: Arc<Mutex<Shown>>,
+    status: Arc<Mutex<HostStatus>>,
     linked: bool,
     stopping: bool,
-    said_ready: Option<OwnerId>,
-    to_clerks: Sender<Work>,
-    clerks: Mutex<Option<Receiver<Work>>>,
+    reported_owner: Option<OwnerId>,
+    to_workers: Sender<Task>,
+    worker_queue: Mutex<Option<Receiver<Task>>>,
 }
 
 impl Host {
-    /// A process that has started nothing yet.
+    /// Creates the state; starts no threads.
     pub fn new(settings: settings::Batch, sender: Sender<Message>) -> Host {
         let key = Key::new(&settings.cluster_key);
         let address = settings.platform_address.to_string();
         let platform = Platform::new(&address, ms(settings.platform_timeout_ms));
-        let tools = Tools {
+        let shared = Shared {
             segments: Segments {
                 platform: platform.clone(),
                 key: key.clone(),
@@ -108,37 +110,37 @@
             platform,
             engines: Engines::new(),
             sender,
-            flights: Mutex::default(),
+            attempts: Mutex::default(),
             files: Mutex::default(),
         };
         let (to_entry, outgoing) = mpsc::channel();
-        let (to_clerks, clerks) = mpsc::channel();
+        let (to_workers, queue) = mpsc::channel();
         Host {
             settings,
             key,
-            tools: Arc::new(tools),
+            shared: Arc::new(shared),
             batch: Batch::new(util::nonce() | 1, util::rng()),
             config: None,
             addresses: HashMap::new(),
-            lines: BTreeMap::new(),
+            chunk_items: BTreeMap::new(),
             records: BTreeMap::new(),
             to_entry,
             outgoing: Mutex::new(Some(outgoing)),
-            shown: Arc::default(),
+            status: Arc::default(),
             linked: false,
             stopping: false,
-            said_ready: None,
-            to_clerks,
-            clerks: Mutex::new(Some(clerks)),
+            reported_owner: None,
+            to_workers,
+            worker_queue: Mutex::new(Some(queue)),
         }
     }
 
-    /// What the pages show.
-    pub fn shown(&self) -> Arc<Mutex<Shown>> {
-        self.shown.clone()
+    /// The state shown on the operators' pages.
+    pub fn status(&self) -> Arc<Mutex<HostStatus>> {
+        self.status.clone()
     }
 
-    /// What the link needs; once.
+    /// Settings of the link to the entry process; the outgoing messages are handed out only once.
     pub fn link_settings(&self) -> link::Settings {
         let outgoing = lock(&self.outgoing)
             .take()
@@ -150,15 +152,15 @@
         }
     }
 
-    /// Starts the loop; the receiver tells when everything was handed over after a stop.
+    /// Starts the threads; the receiver gets a message once all work is handed over after a stop.
     pub fn start(mut self, messages: Receiver<Message>) -> io::Result<Receiver<()>> {
-        let clerks = Arc::new(Mutex::new(lock(&self.clerks).take()));
-        for _ in 0..CLERKS {
-            let clerks = clerks.clone();
+        let queue = Arc::new(Mutex::new(lock(&self.worker_queue).take()));
+        for _ in 0..WORKER_THREADS {
+            let queue = queue.clone();
             thread::Builder::new()
                 .name("clerk".into())
                 .spawn(move || loop {
-                    let work = match lock(&clerks).as_ref().map(Receiver::recv) {
+                    let work = match lock(&queue).as_ref().map(Receiver::recv) {
                         Some(Ok(work)) => work,
                         _ => return,
                     };
@@ -170,13 +172,13 @@
             .name("host".into())
             .spawn(move || loop {
                 let mut actions = Vec::new();
-                match messages.recv_timeout(TICK) {
-                    Ok(message) => self.take(message, &mut actions),
+                match messages.recv_timeout(TICK_INTERVAL) {
+                    Ok(message) => self.handle_message(message, &mut actions),
                     Err(RecvTimeoutError::Timeout) => self.batch.tick(clock::now(), &mut actions),
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
-                self.carry_out(actions);
-                self.tidy();
+                self.run_actions(actions);
+                self.publish_status();
                 if self.stopping && self.batch.idle() {
                     let _ = done.send(());
                     return;
@@ -185,25 +187,29 @@
         Ok(stopped)
     }
 
-    fn take(&mut self, message: Message, out: &mut Vec<Action>) {
+    fn handle_message(&mut self, message: Message, out: &mut Vec<Action>) {
         let now = clock::now();
         let mut handle = |batch: &mut Batch, event| batch.handle(now, event, out);
         match message {
             Message::Event(event) => handle(&mut self.batch, event),
             Message::Linked => {
                 self.linked = true;
-                self.said_ready = None;
+                self.reported_owner = None;
                 handle(&mut self.batch, Event::Leave(self.stopping));
             }
             Message::Unlinked => {
-                // Without the entry process nothing tells what online requests need: stop sending
-                // at once; what is under way ends.
+                // Without the entry process the needs of online requests are unknown: start no more
+                // items. Items in flight run to their end.
                 self.linked = false;
                 handle(&mut self.batch, Event::Windows(Vec::new()));
             }
-            Message::Lines { key, run, lines } => {
-                let items = lines.planned.clone();
-                self.lines.insert(key.clone(), (run, lines));
+            Message::ChunkLoaded {
+                key,
+                run,
+                chunk_items,
+            } => {
+                let items = chunk_items.planned.clone();
+                self.chunk_items.insert(key.clone(), (run, chunk_items));
                 handle(&mut self.batch, Event::Loaded { key, run, items });
             }
             Message::Stop => {
@@ -220,14 +226,14 @@
                     .map(|s| (s.workspace.clone(), s.batch_share))
                     .collect();
                 self.config = Some(Arc::new(*versioned));
-                let views = self.views(now);
+                let views = self.job_views(now);
                 handle(&mut self.batch, Event::Shares(shares));
-                // Which services the jobs ask for may have changed.
+                // The configuration decides which services a job's targets belong to.
                 handle(&mut self.batch, Event::Jobs(views));
             }
             Message::Entry(ToBatch::Jobs(records)) => {
                 self.records = records.into_iter().map(|r| (r.id.to_string(), r)).collect();
-                let views = self.views(now);
+                let views = self.job_views(now);
                 handle(&mut self.batch, Event::Jobs(views));
             }
             Message::Entry(ToBatch::Crew(crew)) => handle(&mut self.batch, Event::Crew(crew)),
@@ -238,36 +244,37 @@
         }
     }
 
-    fn views(&self, now: Duration) -> Vec<JobView> {
+    fn job_views(&self, now: Duration) -> Vec<JobView> {
         let Some(config) = &self.config else {
             return Vec::new();
         };
         self.records
             .values()
-            .map(|record| view(now, record, &config.state))
+            .map(|record| job_view(now, record, &config.state))
             .collect()
     }
 
-    /// Tells the entry process and the pages how things stand, and drops what nobody needs.
-    fn tidy(&mut self) {
+    /// Reports the state to the entry process and the pages, and drops the lines of ended runs.
+    fn publish_status(&mut self) {
         let batch = &self.batch;
-        self.lines
+        self.chunk_items
             .retain(|key, (run, _)| batch.runs.get(key).is_some_and(|r| r.id == *run));
-        // Handed over or not holding anything: the VM may go.
+        // The VM may stop once this process is draining and holds no work; 0 tells the entry
+        // process so.
         let busy = !batch.leaving() || !batch.idle();
         let ready = if busy { batch.owner() } else { 0 };
-        if self.linked && self.said_ready != Some(ready) {
-            self.said_ready = Some(ready);
+        if self.linked && self.reported_owner != Some(ready) {
+            self.reported_owner = Some(ready);
             let _ = self.to_entry.send(ToEntry::Ready(ready));
         }
-        let shown = Shown {
+        let status = HostStatus {
             linked: self.linked,
             totals: batch.totals,
             jobs: batch.jobs.len(),
             runs: batch
                 .runs
                 .iter()
-                .map(|(key, run)| ShownRun {
+                .map(|(key, run)| RunStatus {
                     job: key.job.to_string(),
                     chunk: key.chunk,
                     open_items: run.open_items(),
@@ -277,10 +284,10 @@
             in_flight: batch.flights.len(),
             windows: batch.slots.values().map(|slot| slot.window).sum(),
         };
-        *lock(&self.shown) = shown;
+        *lock(&self.status) = status;
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn run_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Start {
@@ -290,16 +297,16 @@
                     item,
                     endpoint,
                 } => {
-                    self.start_flight(flight, &key, epoch, item, endpoint);
+                    self.start_attempt(flight, &key, epoch, item, endpoint);
                 }
                 Action::Cancel { flight } => self.cancel(flight),
-                other => self.clerk(other),
+                other => self.queue_task(other),
             }
         }
     }
 
-    fn clerk(&self, action: Action) {
-        let (tools, config) = (self.tools.clone(), self.config.clone());
+    fn queue_task(&self, action: Action) {
+        let (shared, config) = (self.shared.clone(), self.config.clone());
         let file = match &action {
             Action::Load { key, .. } => self
                 .records
@@ -308,59 +315,73 @@
             _ => None,
         };
         let _ = self
-            .to_clerks
-            .send(Box::new(move || tools.run(action, config, file)));
+            .to_workers
+            .send(Box::new(move || shared.run(action, config, file)));
     }
 
-    fn cancel(&self, flight: AttemptId) {
-        let found = lock(&self.tools.flights).get_mut(&flight).map(|entry| {
-            entry.2 = true;
-            (entry.0.clone(), entry.1.clone())
-        });
+    fn cancel(&self, attempt_id: AttemptId) {
+        let found = lock(&self.shared.attempts)
+            .get_mut(&attempt_id)
+            .map(|entry| {
+                entry.2 = true;
+                (entry.0.clone(), entry.1.clone())
+            });
         let Some((address, attempt)) = found else {
             return;
         };
-        let tools = self.tools.clone();
-        // Not a clerk's work: a burst of online requests must not wait behind the platform.
+        let shared = self.shared.clone();
+        // Runs on a thread of its own: a burst of online requests must not wait behind calls to the
+        // platform.
         let spawned = thread::Builder::new()
-            .stack_size(FLIGHT_STACK_BYTES)
-            .spawn(move || tools.engines.cancel(&address, &attempt));
+            .stack_size(ATTEMPT_STACK_BYTES)
+            .spawn(move || shared.engines.cancel(&address, &attempt));
         drop(spawned);
     }
 
-    fn start_flight(
+    fn start_attempt(
         &mut self,
-        flight: AttemptId,
+        attempt_id: AttemptId,
         key: &ChunkKey,
         epoch: u64,
         item: u32,
         endpoint: EndpointId,
     ) {
-        let lines = self.lines.get(key).map(|(_, lines)| lines.clone());
+        let chunk_items = self
+            .chunk_items
+            .get(key)
+            .map(|(_, chunk_items)| chunk_items.clone());
         let address = self.addresses.get(&endpoint).cloned();
-        let attempt = format!("{}.{}.{epoch}.{item}.{flight}", key.job, key.chunk);
-        let tools = self.tools.clone();
-        let (Some(lines), Some(address)) = (lines, address) else {
+        let attempt = format!("{}.{}.{epoch}.{item}.{attempt_id}", key.job, key.chunk);
+        let shared = self.shared.clone();
+        let (Some(chunk_items), Some(address)) = (chunk_items, address) else {
             let end = items::not_sent("its endpoint is not configured any more");
-            let _ = tools
-                .sender
-                .send(Message::Event(Event::Ended { flight, end }));
+            let _ = shared.sender.send(Message::Event(Event::Ended {
+                flight: attempt_id,
+                end,
+            }));
             return;
         };
         let name = (address.clone(), attempt.clone(), false);
-        lock(&tools.flights).insert(flight, name);
+        lock(&shared.attempts).insert(attempt_id, name);
         let item_key = format!("{}/{}/{item}", key.job, key.chunk);
-        let sender = tools.sender.clone();
+        let sender = shared.sender.clone();
         let spawned = thread::Builder::new()
-            .stack_size(FLIGHT_STACK_BYTES)
+            .stack_size(ATTEMPT_STACK_BYTES)
             .spawn(move || {
-                let end = items::run(&tools.engines, &lines, item, &address, &attempt, &item_key);
-                let cancelled = lock(&tools.flights)
-                    .remove(&flight)
+                let end = items::run(
+                    &shared.engines,
+                    &chunk_items,
+                    item,
+                    &address,
+                    &attempt,
+                    &item_key,
+                );
+                let cancelled = lock(&shared.attempts)
+                    .remove(&attempt_id)
                     .is_some_and(|entry| entry.2);
                 let end = match end {
-                    // A death counts even so: were the item that killed the endpoint let off because
-                    // it had been called back, it would go out again beside those it hurt.
+                    // An endpoint's death counts although the item was preempted. Otherwise an item
+                    // that kills endpoints would run again beside the items that it harms.
                     AttemptEnd::Failed { died: false, .. } | AttemptEnd::Rejected { .. }
                         if cancelled =>
                     {
@@ -368,18 +389,22 @@
                     }
                     end => end,
                 };
-                let _ = tools
-                    .sender
-                    .send(Message::Event(Event::Ended { flight, end }));
+                let _ = shared.sender.send(Message::Event(Event::Ended {
+                    flight: attempt_id,
+                    end,
+                }));
             });
         if spawned.is_err() {
             let end = items::not_sent("no thread for it");
-            let _ = sender.send(Message::Event(Event::Ended { flight, end }));
+            let _ = sender.send(Message::Event(Event::Ended {
+                flight: attempt_id,
+                end,
+            }));
         }
     }
 }
 
-fn view(now: Duration, record: &JobRecord, state: &State) -> JobView {
+fn job_view(now: Duration, record: &JobRecord, state: &State) -> JobView {
     let service = |target: &String| match target.split_once(':') {
         Some(("model", name)) => state.service_of_model(name),
         Some((_, name)) => state.service(name),
@@ -401,7 +426,7 @@
     }
 }
 
-impl Tools {
+impl Shared {
     fn run(&self, action: Action, config: Option<Arc<Versioned>>, file: Option<String>) {
         let message = match action {
             Action::Read { key, run } => {
@@ -427,10 +452,10 @@
                 Message::Event(Event::Written { key, run, answer })
             }
             Action::Load { key, run } => match self.load(&key, config, file) {
-                Some(lines) => Message::Lines {
+                Some(chunk_items) => Message::ChunkLoaded {
                     key,
                     run,
-                    lines: Arc::new(lines),
+                    chunk_items: Arc::new(chunk_items),
                 },
                 None => Message::Event(Event::LoadFailed { key, run }),
             },
@@ -459,7 +484,7 @@
         let entry = self.platform.get(&file_key(file)).ok()??;
         let record: Arc<FileRecord> = Arc::new(serde_json::from_str(&entry.value).ok()?);
         let mut files = lock(&self.files);
-        // A few at a time are in use; the rest can be read again.
+        // Only a few files are in use at a time; any other can be read again.
         if files.len() >= 64 {
             files.clear();
         }
@@ -472,7 +497,7 @@
         key: &ChunkKey,
         config: Option<Arc<Versioned>>,
         file: Option<String>,
-    ) -> Option<Lines> {
+    ) -> Option<ChunkItems> {
         let (config, file) = (config?, file?);
         let record = self.file(&file)?;
         let segment = record.segments.get(key.chunk as usize)?;
@@ -492,8 +517,8 @@
                 content.extend_from_slice(line);
                 content.push(b'\n');
             }
-            let inline = content.len() <= INLINE_RESULTS || self.segments.bulk.is_empty();
-            for (piece, count) in pieces(content.into(), inline) {
+            let inline = content.len() <= INLINE_RESULTS_BYTES_MAX || self.segments.bulk.is_empty();
+            for (piece, count) in split_results(content.into(), inline) {
                 let segment = self.segments.store(&piece, count, inline).ok()?;
                 segments.push(ResultSegment { segment, errors });
             }
@@ -501,7 +526,7 @@
         Some(segments)
     }
 
-    /// Ends a job whose chunks have all ended.
+    /// Ends a job once all its chunks have ended.
     fn finish(&self, job: &str) {
         let Ok(Some(entry)) = self.platform.get(&job_key(job)) else {
             return;
@@ -523,9 +548,9 @@
             return;
         };
         let text = serde_json::to_string(&ended).unwrap_or_default();
-        let until = clock::now() + PATIENCE;
-        // A loss is as good: another VM ended it with the same chunks, or it was cancelled and the
-        // next look ends it.
+        let until = clock::now() + COMMIT_TIMEOUT;
+        // A conflict needs no retry: either another VM ended the job from the same chunks, or the
+        // job was cancelled and the next check ends it.
         if let Settled::Won(_) = self
             .platform
             .commit(&job_key(job), entry.revision, &text, until)
@@ -536,8 +561,9 @@
     }
 }
 
-/// Cuts content at line ends into pieces that fit inline, where it has to go there.
-fn pieces(content: Bytes, inline: bool) -> Vec<(Bytes, u32)> {
+/// Splits content at line ends into pieces that fit inline; content for the bulk stores stays
+/// whole.
+fn split_results(content: Bytes, inline: bool) -> Vec<(Bytes, u32)> {
     let most = if inline {
         crate::segments::INLINE_BYTES
     } else {
--- a/src/batch/items.rs
+++ b/src/batch/items.rs
@@ -1,4 +1,4 @@
-//! The items of a chunk: read from its lines, run at endpoints.
+//! The items of a chunk: parsed from its lines, and run at endpoints.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 
 /// One line of an input file.
 #[derive(Deserialize)]
-struct Line<'a> {
+struct InputLine<'a> {
     #[serde(borrow)]
     custom_id: &'a RawValue,
     method: String,
@@ -25,9 +25,9 @@
     body: &'a RawValue,
 }
 
-/// How an item is sent.
+/// An item as it is sent to an endpoint.
 #[derive(Debug, Clone)]
-struct Sending {
+struct ItemRequest {
     method: String,
     path: String,
     body: Bytes,
@@ -35,44 +35,45 @@
     idempotent: bool,
 }
 
-/// The items of one chunk.
+/// The parsed items of one chunk.
 #[derive(Debug)]
-pub struct Lines {
+pub struct ChunkItems {
     pub planned: Vec<PlannedItem>,
-    sendings: Vec<Option<Sending>>,
+    /// Requests by item number; `None` for an invalid line.
+    requests: Vec<Option<ItemRequest>>,
 }
 
-/// Reads the lines of a chunk; a line that can never be done is kept as such.
-pub fn plan(content: Bytes, state: &State) -> Lines {
-    let mut lines = Lines {
+/// Parses the lines of a chunk. An invalid line becomes an item that fails with an error result.
+pub fn plan(content: Bytes, state: &State) -> ChunkItems {
+    let mut items = ChunkItems {
         planned: Vec::new(),
-        sendings: Vec::new(),
+        requests: Vec::new(),
     };
     for text in content
         .split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty())
     {
         let custom_id = custom_id_of(text);
-        match read(&content, text, state) {
-            Ok((service, sending)) => {
+        match parse_line(&content, text, state) {
+            Ok((service, request)) => {
                 let idempotent = service.idempotent;
                 let work = ItemWork::Run {
                     service: id::of(&service.name),
                     idempotent,
                 };
-                lines.planned.push(PlannedItem { custom_id, work });
-                lines.sendings.push(Some(sending));
+                items.planned.push(PlannedItem { custom_id, work });
+                items.requests.push(Some(request));
             }
             Err((code, message)) => {
-                lines.planned.push(PlannedItem {
+                items.planned.push(PlannedItem {
                     custom_id,
                     work: ItemWork::Bad { code, message },
                 });
-                lines.sendings.push(None);
+                items.requests.push(None);
             }
         }
     }
-    lines
+    items
 }
 
 fn custom_id_of(text: &[u8]) -> Bytes {
@@ -81,10 +82,15 @@
     Bytes::from(custom_id.to_string())
 }
 
-type Bad = (&'static str, String);
+/// Error code and message of an invalid line.
+type LineError = (&'static str, String);
 
-fn read<'a>(content: &Bytes, text: &[u8], state: &'a State) -> Result<(&'a Service, Sending), Bad> {
-    let line: Line =
+fn parse_line<'a>(
+    content: &Bytes,
+    text: &[u8],
+    state: &'a State,
+) -> Result<(&'a Service, ItemRequest), LineError> {
+    let line: InputLine =
         serde_json::from_slice(text).map_err(|error| ("invalid_line", error.to_string()))?;
     if !line.custom_id.get().starts_with('"') {
         return Err(("invalid_line", "custom_id is not a string".into()));
@@ -107,7 +113,7 @@
     if !["GET", "POST", "PUT", "DELETE", "PATCH"].contains(&line.method.as_str()) {
         return Err(("invalid_line", format!("method {:?}", line.method)));
     }
-    let sending = Sending {
+    let sending = ItemRequest {
         method: line.method,
         path,
         body,
@@ -127,7 +133,7 @@
         .map(|named| named.model)
 }
 
-/// An end of a try that never left this process.
+/// The end of an attempt that never left this process.
 pub fn not_sent(detail: &str) -> AttemptEnd {
     AttemptEnd::Failed {
         reach: AttemptStage::NotSent,
@@ -136,16 +142,16 @@
     }
 }
 
-/// Runs one try of an item.
+/// Runs one attempt of an item.
 pub fn run(
     engines: &Engines,
-    lines: &Lines,
+    lines: &ChunkItems,
     item: u32,
     address: &str,
     attempt: &str,
     key: &str,
 ) -> AttemptEnd {
-    let Some(Some(sending)) = lines.sendings.get(item as usize) else {
+    let Some(Some(sending)) = lines.requests.get(item as usize) else {
         return not_sent("there is no such item");
     };
     let call = Call {
--- a/src/batch/message.rs
+++ b/src/batch/message.rs
@@ -1,23 +1,23 @@
-//! What the loop of the batch process takes.
+//! Messages to the event loop of the batch process.
 
 use std::sync::Arc;
 
-use super::items::Lines;
+use super::items::ChunkItems;
 use crate::decide::batch::{ChunkKey, Event};
 use crate::wire::ToBatch;
 
-/// What the host's loop takes.
+/// A message to the event loop.
 #[derive(Debug)]
 pub enum Message {
     Linked,
     Unlinked,
     Entry(ToBatch),
     Event(Event),
-    /// The lines of a chunk were read, for [`Event::Loaded`].
-    Lines {
+    /// The lines of a chunk were loaded, for [`Event::Loaded`].
+    ChunkLoaded {
         key: ChunkKey,
         run: u64,
-        lines: Arc<Lines>,
+        chunk_items: Arc<ChunkItems>,
     },
     Stop,
 }
--- a/src/entry/plan.rs
+++ b/src/entry/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, laid out for lookups.
+//! The configuration in force, indexed for lookups.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,17 +12,17 @@
 use crate::id::{self, EndpointId, Name, ServiceId};
 use crate::settings::ms;
 
-/// The configuration in force.
+/// The configuration in force, indexed for lookups.
 #[derive(Debug)]
 pub struct Plan {
     pub versioned: Arc<Versioned>,
     keys: KeyTable,
     addresses: HashMap<EndpointId, Name>,
-    knobs: HashMap<ServiceId, BatchWeight>,
+    batch_weights: HashMap<ServiceId, BatchWeight>,
 }
 
 impl Plan {
-    /// Lays out a configuration.
+    /// Indexes a configuration.
     pub fn new(versioned: Arc<Versioned>) -> Plan {
         let state = &versioned.state;
         let keys = state
@@ -41,7 +41,7 @@
             addresses: endpoints
                 .map(|e| (id::of(&e.name), e.address.clone()))
                 .collect(),
-            knobs: services
+            batch_weights: services
                 .map(|s| {
                     (
                         id::of(&s.name),
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The state that the operators declared.
+    /// The state that operators configured.
     pub fn state(&self) -> &State {
         &self.versioned.state
     }
 
-    /// The workspace whose key the request carries.
+    /// The workspace of the request's API key.
     pub fn workspace_of(&self, request: &Request) -> Option<Name> {
         let header = request.header("Authorization")?;
         let key = header
@@ -76,15 +76,15 @@
         self.addresses.get(&endpoint)
     }
 
-    /// The knob of a service.
-    pub fn knob(&self, service: ServiceId) -> BatchWeight {
-        self.knobs
+    /// The batch weight of a service; online weight 1.0 if it is not configured.
+    pub fn batch_weight(&self, service: ServiceId) -> BatchWeight {
+        self.batch_weights
             .get(&service)
             .copied()
             .unwrap_or(BatchWeight { online_weight: 1.0 })
     }
 
-    /// The endpoints as the table takes them.
+    /// The endpoints in the form of the endpoint table.
     pub fn endpoints(&self) -> Vec<(EndpointId, EndpointConfig)> {
         let state = self.state();
         let limits: HashMap<&Name, u32> = state
@@ -105,17 +105,17 @@
         declared.collect()
     }
 
-    /// The services as admission takes them.
+    /// The services in the form of online admission.
     pub fn services(&self) -> HashMap<ServiceId, online::ServiceConfig> {
         let state = self.state();
         state
             .services
             .iter()
-            .map(|s| (id::of(&s.name), self.service(s)))
+            .map(|s| (id::of(&s.name), self.service_config(s)))
             .collect()
     }
 
-    fn service(&self, service: &Service) -> online::ServiceConfig {
+    fn service_config(&self, service: &Service) -> online::ServiceConfig {
         let shares = self
             .state()
             .shares
--- a/src/entry/question.rs
+++ b/src/entry/question.rs
@@ -1,12 +1,12 @@
-//! A question to the owner of a range of intents, on its way to the owner's thread.
+//! An intent request on its way to the thread of its range.
 
 use std::sync::mpsc::Sender;
 
 use crate::decide::intents::{IntentKey, IntentRequest, IntentVerdict};
 
-/// A question to the thread of a range.
-pub struct Question {
+/// An intent request to the thread of its range.
+pub struct RangeRequest {
     pub key: IntentKey,
-    pub ask: IntentRequest,
-    pub answer: Sender<IntentVerdict>,
+    pub request: IntentRequest,
+    pub reply: Sender<IntentVerdict>,
 }
--- a/tests/endpoint_processes.rs
+++ b/tests/endpoint_processes.rs
@@ -1,4 +1,4 @@
-//! An endpoint starts again under its name: its processes are told apart by their starts.
+//! An endpoint restarts under the same name: its processes are told apart by their start times.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     discovery.apply_entry(ms(at), id::of(NAME), entry(incarnation, draining), at)
 }
 
-fn used(discovery: &Discovery) -> Vec<u64> {
+fn used_endpoints(discovery: &Discovery) -> Vec<u64> {
     let rows = discovery.declared().into_iter();
     let rows = rows.filter(|(.., draining)| !draining);
     rows.map(|(id, ..)| id).collect()
@@ -48,54 +48,55 @@
     id::of_process(NAME, Some(start))
 }
 
-// Requests run at an engine that leaves. It started again, drains, and a word of the process before, which was
-// on its way all the time, comes last. Neither that word nor any later one of that process counts.
+// An engine restarts and drains while requests still run at it, and then a delayed entry of its
+// previous process arrives. Neither that entry nor a later one of the previous process is used.
 #[test]
 fn late_word() {
     let mut discovery = Discovery::default();
     write(&mut discovery, Some(START_MS), false, 1);
     write(&mut discovery, Some(START_MS + 1), true, 2);
     assert!(!write(&mut discovery, Some(START_MS), false, 3));
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
     discovery.apply_removal(ms(4), id::of(NAME), 4);
     write(&mut discovery, Some(START_MS), false, 5);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
 }
 
-// The engine's clock jumped back while it was down, so that its new process seems to have started first. The
-// revisions tell which is the newer one.
+// The engine's clock was set back while it was down, so its new process has the earlier start time.
+// The store's revisions show which process is newer.
 #[test]
 fn clock_back() {
     let mut discovery = Discovery::default();
     write(&mut discovery, Some(START_MS), true, 1);
     assert!(write(&mut discovery, Some(START_MS - 2000), false, 2));
-    assert_eq!(used(&discovery), [process(START_MS - 2000)]);
+    assert_eq!(used_endpoints(&discovery), [process(START_MS - 2000)]);
 }
 
-// Another writer's entry gives an engine a start that it never had. The engine's own next word holds again.
+// Another writer's entry gives an engine a start time that it never had. The engine's own next
+// entry is used again.
 #[test]
 fn start_of_another_writer() {
     let mut discovery = Discovery::default();
     write(&mut discovery, Some(START_MS), false, 1);
     write(&mut discovery, Some(5), false, 2);
     write(&mut discovery, Some(START_MS), false, 3);
-    assert_eq!(used(&discovery), [process(START_MS)]);
+    assert_eq!(used_endpoints(&discovery), [process(START_MS)]);
 }
 
-// An engine that tells its starts drains; an entry without a start says that it is ready. The engine did not
-// write that, so there is nothing to use.
+// An engine whose entries carry start times drains; then an entry without a start time says that it
+// is ready. The engine did not write that entry, so no endpoint is used.
 #[test]
 fn start_left_out() {
     let mut discovery = Discovery::default();
     write(&mut discovery, Some(START_MS), true, 1);
     write(&mut discovery, None, false, 2);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
     write(&mut discovery, Some(START_MS), false, 3);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
 }
 
-// A VM that just came back to the store is told by a slow answer of an engine that ended in the meantime. The
-// whole reading that another VM passed on was newer and did not list it.
+// A VM that has just reconnected to the store gets a delayed snapshot with an engine that has ended
+// since. A newer snapshot from another VM did not list the engine.
 #[test]
 fn stale_reading() {
     let mut discovery = Discovery::default();
@@ -107,11 +108,11 @@
         lapsing: None,
     };
     discovery.apply_snapshot(ms(1), [known], 7, SnapshotSource::Store);
-    assert!(used(&discovery).is_empty());
+    assert!(used_endpoints(&discovery).is_empty());
 }
 
-// The other VM keeps, as lapsed, the entry of a process that this VM has not heard of yet. What this VM uses is
-// the process before it, which is gone.
+// The other VM keeps, as lapsed, the entry of a process that this VM has no entry of yet. This VM
+// uses the previous process, which has ended.
 #[test]
 fn lapse_of_next() {
     let (mut behind, mut ahead) = (Discovery::default(), Discovery::default());
@@ -122,183 +123,196 @@
     ahead.store_failed(ms(1_000), ms(1_000) - OUTAGE_MIN, false);
     ahead.apply_removal(ms(1_100), id::of(NAME), 3);
     behind.apply_snapshot(ms(1_200), ahead.export(ms(1_200)), 3, SnapshotSource::Peer);
-    assert!(used(&behind).is_empty());
+    assert!(used_endpoints(&behind).is_empty());
 }
 
-// Counts of a process are not its successor's: requests in flight, failures, an ejection.
+// A process does not inherit its predecessor's requests in flight, failures or ejection.
 #[test]
 fn counts_anew() {
     let mut endpoints = Endpoints::default();
-    let declare = |endpoints: &mut Endpoints, start| {
+    let configure = |endpoints: &mut Endpoints, start| {
         let entry = entry(Some(start), false);
         endpoints.configure([(entry.endpoint(), entry.declared())]);
     };
-    declare(&mut endpoints, START_MS);
+    configure(&mut endpoints, START_MS);
     endpoints.rows[0].online_here = 8;
     endpoints.rows[0].eject(ms(10));
-    declare(&mut endpoints, START_MS + 1);
+    configure(&mut endpoints, START_MS + 1);
     assert_eq!(endpoints.rows[0].online_here, 0);
     assert!(endpoints.rows[0].usable(ms(11)));
 }
 
-/// What happens to the entry, in the order of the store's revisions, and on its way to a VM.
+/// A change of the entry, in the order of the store's revisions, or an event of its delivery to a
+/// VM.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Starts,
     Drains,
-    Goes,
-    /// It writes its entry again, as it does when another writer's stands there.
-    Writes,
-    /// Another writer's entry.
-    Spoilt,
-    /// From now on the VM hears nothing by itself.
-    Deaf,
-    /// An earlier word comes once more.
-    Again(u8),
+    Ends,
+    /// The engine writes its entry again, as it does when it finds another writer's entry in its
+    /// place.
+    Rewrites,
+    /// Another writer stores an unusable entry.
+    Spoils,
+    /// The VM receives no changes from now on.
+    Disconnects,
+    /// An earlier change arrives again.
+    Redelivers(u8),
     /// The VM reads all entries.
-    Reads,
-    /// Another VM, which has followed every change, tells this one.
-    Told,
-    /// A call on the store fails.
-    Fails,
+    ReadsAll,
+    /// The VM gets a snapshot from another VM, which has received every change.
+    PeerSnapshot,
+    /// A call to the store fails.
+    StoreFails,
 }
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Step {
-        let again = Step::Again(u8::arbitrary(g));
+        let again = Step::Redelivers(u8::arbitrary(g));
         let steps = [
             Step::Starts,
             Step::Starts,
             Step::Drains,
-            Step::Goes,
-            Step::Writes,
-            Step::Spoilt,
-            Step::Deaf,
+            Step::Ends,
+            Step::Rewrites,
+            Step::Spoils,
+            Step::Disconnects,
             again,
             again,
-            Step::Reads,
-            Step::Told,
-            Step::Fails,
+            Step::ReadsAll,
+            Step::PeerSnapshot,
+            Step::StoreFails,
         ];
         *g.choose(&steps).unwrap_or(&Step::Starts)
     }
 }
 
-/// One word of the store.
+/// One change of the entry in the store.
 #[derive(Debug, Clone)]
-enum Word {
+enum StoreChange {
     Entry(Registration),
-    Gone,
-    Spoilt,
+    Removed,
+    Unusable,
 }
 
-fn take(discovery: &mut Discovery, now: Duration, word: &Word, revision: Revision) {
+fn deliver(discovery: &mut Discovery, now: Duration, change: &StoreChange, revision: Revision) {
     let id = id::of(NAME);
-    match word {
-        Word::Entry(entry) => discovery.apply_entry(now, id, entry.clone(), revision),
-        Word::Gone => discovery.apply_removal(now, id, revision),
-        Word::Spoilt => discovery.apply_unusable(now, id, revision),
+    match change {
+        StoreChange::Entry(entry) => discovery.apply_entry(now, id, entry.clone(), revision),
+        StoreChange::Removed => discovery.apply_removal(now, id, revision),
+        StoreChange::Unusable => discovery.apply_unusable(now, id, revision),
     };
 }
 
-fn read_all(discovery: &mut Discovery, now: Duration, words: &[Word]) {
-    let at = words.len() as Revision;
+fn read_all(discovery: &mut Discovery, now: Duration, changes: &[StoreChange]) {
+    let at = changes.len() as Revision;
     let mut listed = Vec::new();
-    match words.last() {
-        Some(Word::Entry(entry)) => listed.push(KnownEntry {
+    match changes.last() {
+        Some(StoreChange::Entry(entry)) => listed.push(KnownEntry {
             id: id::of(NAME),
             entry: entry.clone(),
             revision: at,
             lapsing: None,
         }),
-        Some(Word::Spoilt) => {
+        Some(StoreChange::Unusable) => {
             discovery.apply_unusable(now, id::of(NAME), at);
         }
-        Some(Word::Gone) | None => {}
+        Some(StoreChange::Removed) | None => {}
     }
     discovery.apply_snapshot(now, listed, at, SnapshotSource::Store);
 }
 
-/// The next word of the store, if the step is one: a process drains before it goes or just goes, and starts
-/// only when there is none.
-fn next_word(step: Step, standing: &mut Option<Registration>, starts: &mut u64) -> Option<Word> {
+/// The next change of the store, if the step makes one: a process may drain before it is removed,
+/// and starts only when no other process has an entry.
+fn next_change(
+    step: Step,
+    stored: &mut Option<Registration>,
+    starts: &mut u64,
+) -> Option<StoreChange> {
     match step {
-        Step::Starts if standing.is_none() => {
+        Step::Starts if stored.is_none() => {
             *starts += 1;
-            *standing = Some(entry(Some(START_MS + *starts), false));
+            *stored = Some(entry(Some(START_MS + *starts), false));
         }
-        Step::Drains if standing.is_some() => {
-            standing.iter_mut().for_each(|entry| entry.draining = true);
+        Step::Drains if stored.is_some() => {
+            stored.iter_mut().for_each(|entry| entry.draining = true);
         }
-        Step::Goes if standing.is_some() => {
-            *standing = None;
-            return Some(Word::Gone);
+        Step::Ends if stored.is_some() => {
+            *stored = None;
+            return Some(StoreChange::Removed);
         }
-        Step::Writes if standing.is_some() => {}
-        Step::Spoilt if standing.is_some() => return Some(Word::Spoilt),
+        Step::Rewrites if stored.is_some() => {}
+        Step::Spoils if stored.is_some() => return Some(StoreChange::Unusable),
         _ => return None,
     }
-    standing.clone().map(Word::Entry)
+    stored.clone().map(StoreChange::Entry)
 }
 
-/// Whatever comes late, twice, not at all, by another VM or through an outage: a VM that has heard of a drain
-/// never uses that process again, and once it has read all entries and the time of an outage is over it uses
-/// what the store's last word names, and nothing else.
-fn last_word_holds(steps: Vec<Step>) -> bool {
+/// Changes may arrive late, twice, not at all, through another VM, or during an outage. A VM that
+/// has seen a process drain never uses it again. Once the VM has read all entries and the time of
+/// an outage is over, it uses exactly the endpoint that the store's last change names.
+fn uses_last_change(steps: Vec<Step>) -> bool {
     let (mut vm, mut other) = (Discovery::default(), Discovery::default());
-    let (mut words, mut standing, mut starts) = (Vec::<Word>::new(), None, 0);
-    let (mut drained, mut heard) = (Vec::<u64>::new(), Vec::<u64>::new());
-    let (mut now, mut deaf) = (ms(1_000), false);
+    let (mut changes, mut stored, mut starts) = (Vec::<StoreChange>::new(), None, 0);
+    let (mut drained, mut seen_drained) = (Vec::<u64>::new(), Vec::<u64>::new());
+    let (mut now, mut disconnected) = (ms(1_000), false);
     for step in steps {
         now += ms(50);
-        if let Some(word) = next_word(step, &mut standing, &mut starts) {
-            words.push(word.clone());
-            let at = words.len() as Revision;
-            take(&mut other, now, &word, at);
-            if !deaf {
-                take(&mut vm, now, &word, at);
+        if let Some(change) = next_change(step, &mut stored, &mut starts) {
+            changes.push(change.clone());
+            let at = changes.len() as Revision;
+            deliver(&mut other, now, &change, at);
+            if !disconnected {
+                deliver(&mut vm, now, &change, at);
             }
-            if let Word::Entry(entry) = word {
+            if let StoreChange::Entry(entry) = change {
                 let drains = entry.draining.then(|| entry.endpoint());
                 drained.extend(drains);
-                heard.extend(drains.filter(|_| !deaf));
+                seen_drained.extend(drains.filter(|_| !disconnected));
             }
         }
         match step {
-            Step::Again(pick) if !words.is_empty() => {
-                let at = usize::from(pick) % words.len();
-                take(&mut vm, now, &words[at].clone(), at as Revision + 1);
+            Step::Redelivers(pick) if !changes.is_empty() => {
+                let at = usize::from(pick) % changes.len();
+                deliver(&mut vm, now, &changes[at].clone(), at as Revision + 1);
             }
-            Step::Reads => {
-                read_all(&mut vm, now, &words);
-                // An entry that is gone doesn't say whether its process had drained.
-                heard.extend(drained.iter().filter(|id| !used(&vm).contains(id)));
-                deaf = false;
+            Step::ReadsAll => {
+                read_all(&mut vm, now, &changes);
+                // A removed entry does not show whether its process had drained.
+                seen_drained.extend(
+                    drained
+                        .iter()
+                        .filter(|id| !used_endpoints(&vm).contains(id)),
+                );
+                disconnected = false;
             }
-            Step::Told if other.revision > vm.revision => {
-                let told = other.export(now);
-                vm.apply_snapshot(now, told, other.revision, SnapshotSource::Peer);
-                heard.clone_from(&drained);
+            Step::PeerSnapshot if other.revision > vm.revision => {
+                let entries = other.export(now);
+                vm.apply_snapshot(now, entries, other.revision, SnapshotSource::Peer);
+                seen_drained.clone_from(&drained);
             }
-            Step::Deaf => deaf = true,
-            Step::Fails => vm.store_failed(now, now - OUTAGE_MIN, false),
+            Step::Disconnects => disconnected = true,
+            Step::StoreFails => vm.store_failed(now, now - OUTAGE_MIN, false),
             _ => {}
         }
-        if used(&vm).iter().any(|used| heard.contains(used)) {
+        if used_endpoints(&vm)
+            .iter()
+            .any(|used| seen_drained.contains(used))
+        {
             return false;
         }
     }
-    read_all(&mut vm, now, &words);
+    read_all(&mut vm, now, &changes);
     vm.tick(now + RETURN_GRACE);
-    let named = match words.last() {
-        Some(Word::Entry(entry)) if !entry.draining => vec![entry.endpoint()],
+    let named = match changes.last() {
+        Some(StoreChange::Entry(entry)) if !entry.draining => vec![entry.endpoint()],
         _ => Vec::new(),
     };
-    used(&vm) == named
+    used_endpoints(&vm) == named
 }
 
 #[test]
 fn last_word() {
-    let steps = last_word_holds as fn(Vec<Step>) -> bool;
+    let steps = uses_last_change as fn(Vec<Step>) -> bool;
     QuickCheck::new().tests(5_000).quickcheck(steps);
 }
