--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -1,4 +1,5 @@
-//! Callers: online ones on kept and on new connections, and those of batch jobs.
+//! Simulated callers: online callers on kept-alive and on new connections, and callers that submit,
+//! cancel and read batch jobs.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::thread::Scope;
@@ -15,13 +16,13 @@
 
 /// Pause between two requests of one caller.
 const PAUSE: Duration = Duration::from_millis(30);
-/// Time between two jobs.
+/// Pause between two jobs.
 const JOB_PAUSE: Duration = Duration::from_millis(600);
-/// A job that was accepted is known everywhere after this time.
+/// Time after which every VM must know an accepted job.
 const SETTLED: Duration = Duration::from_millis(1000);
-/// Tries of one job, each at another VM.
+/// Attempts to submit one job, each at another VM.
 const TRIES: usize = 2;
-/// One of so many jobs is ended by its caller.
+/// One job in this number is cancelled by its caller.
 const ENDED_PART: u32 = 6;
 
 /// All callers of one run.
@@ -33,7 +34,7 @@
 }
 
 impl<'a> Callers<'a> {
-    /// Callers who have not asked yet.
+    /// Creates the callers; none has sent a request yet.
     pub fn new(fleet: &Fleet, ledger: &'a Ledger, seed: u64) -> Callers<'a> {
         Callers {
             ledger,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Lets them ask until they are stopped.
+    /// Starts the threads of all callers; they send requests until `stopping` is set.
     pub fn spawn<'s>(&'s self, scope: &'s Scope<'s, '_>, stopping: &'s AtomicBool) {
         for vm in 0..self.vms {
             scope.spawn(move || self.online(vm, true, stopping));
@@ -61,7 +62,7 @@
         SmallRng::seed_from_u64(self.seed.wrapping_mul(31) + stream)
     }
 
-    /// Asks one VM; with `kept` on one connection for as long as that stays open.
+    /// Sends requests to one VM; with `kept`, over one connection for as long as that stays open.
     fn online(&self, vm: usize, kept: bool, stopping: &AtomicBool) {
         let mut connection = agent();
         let mut repeatable = kept;
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Reads jobs at any VM, from any position that was read before.
+    /// Reads results of random jobs at random VMs, from a random position among those already read.
     fn reading(&self, stopping: &AtomicBool) {
         let mut rng = self.rng(2);
         while !stopping.load(Ordering::SeqCst) {
@@ -149,7 +150,7 @@
     }
 }
 
-/// Jobs whose acceptance has settled.
+/// Jobs that were accepted long enough ago for every VM to know them.
 pub fn accepted_jobs(ledger: &Ledger) -> Vec<String> {
     let settled = clock::now().saturating_sub(SETTLED);
     let jobs = lock(&ledger.jobs);
@@ -160,8 +161,8 @@
     found
 }
 
-/// Reads one page, compares it with what was read before, and keeps what is new. False when the VM
-/// could not tell.
+/// Reads one page of results, compares it with earlier reads, and keeps new results. Returns false
+/// when the VM did not return a complete page.
 pub fn read(ledger: &Ledger, job: &str, vm: usize, after: usize) -> bool {
     let Some(seen) = results(ledger.vms[vm], job, after, 0) else {
         return false;
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold, from what callers and endpoints saw.
+//! Invariants that are checked on what callers and endpoints observed.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
@@ -13,18 +13,20 @@
 use super::ledger::{Asked, Done, Job, Ledger};
 use super::plan::Fault;
 
-/// Events of every whole answer here.
+/// Events of every complete answer in this test.
 const EVENTS: u64 = 5;
-/// Time in which everything is as before once all faults are over.
+/// Time after the last fault in which the fleet must work again.
 const RECOVERY: Duration = Duration::from_secs(25);
-/// Time in which no request reaches an endpoint any more that has said that it leaves.
+/// Time after which no request may reach an endpoint that has reported that it is draining.
 const DRAINED: Duration = Duration::from_millis(2500);
-/// Time in which no item of a job runs any more that was ended.
+/// Time after which no item of a cancelled job may run.
 const CANCELLED: Duration = Duration::from_millis(3500);
-/// A fault still shows for so long after its end: leases, watches and ejections last that long.
+/// Time for which a fault can still show after its end: leases, watches and ejections last that
+/// long.
 pub const AFTERMATH: Duration = Duration::from_secs(4);
 
-/// Checks everything, once the faults are over; what broke on the way comes first.
+/// Runs all checks once the faults are over. Returns all violations, those found during the run
+/// first.
 pub fn at_the_end(fleet: &Fleet, ledger: &Ledger) -> Vec<String> {
     recovered(fleet, ledger);
     jobs_done(fleet, ledger);
@@ -48,7 +50,7 @@
     found
 }
 
-/// Every VM serves, by the newest rules.
+/// Every VM serves requests, by the newest configuration.
 fn recovered(fleet: &Fleet, ledger: &Ledger) {
     let newest = fleet.newest_rules();
     let routes = newest["routes"].as_array().cloned().unwrap_or_default();
@@ -71,7 +73,7 @@
     }
 }
 
-/// Every accepted job comes to its end, and reads the same at every VM.
+/// Every accepted job ends, and its results can be read at every VM.
 fn jobs_done(fleet: &Fleet, ledger: &Ledger) {
     let results = |job: &str| lock(&ledger.jobs)[job].results.len();
     let open = |job: &str| {
@@ -96,7 +98,8 @@
     }
 }
 
-/// An answer that looks whole is whole, and belongs to its request. One that was cut has a cause.
+/// An answer that looks complete is complete and belongs to its request. A cut answer has a fault
+/// as its cause.
 fn answer(ledger: &Ledger, asked: &Asked) {
     let Some(seen) = &asked.seen else {
         return;
@@ -107,11 +110,12 @@
         ledger.broken(asked.ended_at, format!("{what}: {id} {status} {shown}"));
     };
     if seen.status != 200 {
-        // 500 is the endpoint's own; 502 promises nothing.
+        // 500 comes from the endpoint itself; 502 does not promise that the request was not run.
         if !matches!(seen.status, 429 | 500 | 502 | 503 | 504) {
             broken("a proper request was denied");
         }
-        // Everybody asks the same, and engines end under it for reasons of their own.
+        // All callers send the same kind of request, and engines fail for other reasons, so no
+        // request may be quarantined.
         if seen.json()["error"] == "quarantined" {
             broken("an innocent request was held back");
         }
@@ -136,7 +140,7 @@
     }
 }
 
-/// Whether something was done that may cut an answer: planned work may not.
+/// Whether a fault that may cut an answer was active; planned work may not cut any.
 fn excused(ledger: &Ledger, asked: &Asked) -> bool {
     let from = asked.sent_at.saturating_sub(AFTERMATH);
     ledger.disturbed(from, asked.ended_at, |done| {
@@ -144,7 +148,7 @@
     })
 }
 
-/// What may run once runs once, and what was said not to have run has not.
+/// A request that must not run twice ran at most once, and not at all when its answer said so.
 fn run_counts(ledger: &Ledger, asked: &Asked, runs: &HashMap<String, Vec<Run>>) {
     let count = runs.get(&asked.id).map_or(0, Vec::len);
     if !asked.repeatable && count > 1 {
@@ -158,7 +162,8 @@
     }
 }
 
-/// Results of a job: each item once, texts whole; nothing of a refused job runs, nor of an ended one.
+/// Results of a job: each item is listed once with its complete text; nothing of a refused job
+/// runs, and nothing of a cancelled job after the time limit.
 fn job_runs(ledger: &Ledger, id: &str, job: &Job, runs: &HashMap<String, Vec<Run>>) {
     let now = clock::now();
     let mut listed = HashSet::new();
@@ -171,7 +176,8 @@
             let text = result.text.replace('\n', " ");
             ledger.broken(now, format!("item {} has the text {text}", result.item));
         }
-        // Engines here fail an item three times only while that fault lasts.
+        // An item fails for good only after several failures, which engines produce here only
+        // during this fault.
         let failing = |done: &Done| done.fault == Fault::EngineFails;
         if result.state != "completed" && !ledger.disturbed(Duration::ZERO, now, failing) {
             ledger.broken(now, format!("item {} was given up", result.item));
@@ -195,7 +201,8 @@
     }
 }
 
-/// Nothing reaches an endpoint that has said long ago that it leaves, from VMs that could know.
+/// No request reaches a draining endpoint after the time limit, unless a fault kept VMs from seeing
+/// that it drains.
 fn drained(fleet: &Fleet, ledger: &Ledger) {
     let done = lock(&ledger.done).clone();
     for left in done.iter().filter(|done| done.fault == Fault::EngineLeaves) {
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! Does to the fleet what the plan says, and takes it back.
+//! Injects the planned faults into the fleet, and reverts them.
 
 use std::time::Duration;
 
@@ -14,42 +14,43 @@
 use super::ledger::{Done, Ledger};
 use super::plan::{Fault, Step};
 
-/// Answers of one engine that go wrong in one fault.
+/// Wrong answers of an engine per fault.
 const WRONG: u32 = 4;
-/// Calls on the store that go wrong in one fault.
+/// Store calls that fail per fault.
 const CALLS: u32 = 3;
 const SLOW: Duration = Duration::from_millis(150);
-/// A connection to the store that carries nothing for so long is one on which a watch waits.
+/// A connection to the store without traffic for this time is taken to carry a waiting watch.
 const WAITING: Duration = Duration::from_millis(1200);
-/// A connection to an engine that carries nothing for so long waits for the next request, or for an answer that has stopped.
+/// A connection to an engine without traffic for this time waits for the next request, or for an
+/// answer that has stopped.
 const IDLE: Duration = Duration::from_millis(100);
-/// Rules are in force so soon after they were written, at VMs that nothing disturbs.
+/// Time in which a written configuration must be in force at VMs without faults.
 const RULES_KNOWN: Duration = Duration::from_millis(2000);
-/// A process that was told to end has ended by then; its settings give it 6 s.
+/// Time in which a process must end after a stop signal; its settings allow it 6 s.
 pub const STOP_MAX: Duration = Duration::from_secs(9);
 
 /// Pause between two events of an engine's answers.
 pub const EVENT_PAUSE: Duration = Duration::from_millis(25);
 
-/// Version of the rules that a run begins with.
+/// Version of the configuration that a run begins with.
 pub const FIRST_RULES: u64 = 2;
 
-/// Works the plan off.
+/// Injects the faults of a plan.
 pub struct Disturber<'a> {
     program: &'a str,
     fleet: &'a mut Fleet,
     ledger: &'a Ledger,
-    /// Until when each fault under way lasts, and its place in the ledger.
+    /// Active faults: end time, step and index in the ledger.
     under_way: Vec<(Duration, Step, usize)>,
     version: u64,
     routes: Vec<String>,
     left: Vec<usize>,
-    /// Versions that were written, and when.
+    /// Written configuration versions that are still to be checked, with the time of writing.
     written: Vec<(u64, Duration)>,
 }
 
 impl<'a> Disturber<'a> {
-    /// Nothing is disturbed yet.
+    /// Creates the injector; no fault is active yet.
     pub fn new(program: &'a str, fleet: &'a mut Fleet, ledger: &'a Ledger) -> Disturber<'a> {
         Disturber {
             program,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Plays the steps, and waits until all are taken back.
+    /// Injects the steps at their times, and waits until all are reverted.
     pub fn play(&mut self, steps: &[Step], length: Duration) {
         let started = clock::now();
         let mut next = steps.iter().peekable();
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Everything works again.
+    /// Restores all endpoints and the store to normal behaviour.
     pub fn calm(&mut self) {
         for endpoint in &self.fleet.endpoints {
             endpoint.behave(|b| {
@@ -105,7 +106,8 @@
         let busy = self.under_way.iter().any(|(_, other, _)| {
             other.fault.on_vm() == step.fault.on_vm() && other.target == step.target
         });
-        // One thing at a time to one VM; what meets a process that is down would meet nothing.
+        // A VM has at most one fault at a time: a fault on a process that is down would have no
+        // effect.
         if step.fault.on_vm() && busy {
             return;
         }
@@ -194,7 +196,8 @@
             }
             Fault::StoreAway => self.fleet.store.behave(|b| b.away = false),
             Fault::StoreDeaf => {
-                // As the store does: what was not told is never told.
+                // As a real store does after a compaction: changes that were not sent to the watch
+                // are lost to it.
                 self.fleet.store.compact();
                 self.fleet.store.behave(|b| b.deaf = false);
             }
@@ -221,7 +224,7 @@
         }
     }
 
-    /// Starts another engine in the place of one that has ended, whose runs still count.
+    /// Starts another engine in place of one that has ended; the runs of the ended one still count.
     fn replace(&mut self, place: usize) {
         let ended = self.fleet.endpoints[place].clone();
         if ended.ended_at().is_none() || self.left.contains(&place) {
@@ -257,7 +260,7 @@
         self.left.push(endpoint);
     }
 
-    /// All routes that were there, and one more.
+    /// Writes a configuration with all present routes and one more.
     fn change_rules(&mut self) {
         self.version += 3;
         self.routes.push(format!("/added-{}/", self.version));
@@ -266,7 +269,7 @@
         self.written.push((self.version, clock::now()));
     }
 
-    /// Rules are in force in time at each VM that has been sound for long enough.
+    /// Checks that due configuration versions are in force at each VM without recent faults.
     fn check_rules(&mut self, now: Duration) {
         let due = |(_, at): &mut (u64, Duration)| *at + RULES_KNOWN <= now;
         let due: Vec<(u64, Duration)> = self.written.extract_if(.., due).collect();
@@ -288,7 +291,8 @@
     }
 }
 
-/// Rules with added routes. What may not be repeated has tries left, so that a second run would show.
+/// A configuration with added routes. Requests that must not be repeated may have several attempts,
+/// so that a second run would show.
 pub fn rules_with(version: u64, added: &[String]) -> Value {
     let mut changed = rules(version);
     set_tries(&mut changed, "renew", 3);
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers asked and saw, and what was done to the fleet meanwhile.
+//! Records of what callers sent and received, and of the faults injected meanwhile.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use super::plan::Fault;
 
-/// One online request.
+/// One online request with its answer.
 pub struct Asked {
     pub id: String,
-    /// May run twice, and be resumed.
+    /// Whether the request may run twice and be resumed.
     pub repeatable: bool,
     pub vm: usize,
     pub sent_at: Duration,
@@ -23,7 +23,7 @@
     pub seen: Option<Seen>,
 }
 
-/// A result as it was read first.
+/// A result of a job as it was read first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Result {
     pub item: String,
@@ -31,19 +31,19 @@
     pub text: String,
 }
 
-/// One job.
+/// One submitted job.
 #[derive(Debug, Default)]
 pub struct Job {
     pub items: usize,
     pub accepted_at: Option<Duration>,
-    /// Every try was answered with a refusal that promises that nothing runs.
+    /// Every attempt was refused with a status that promises that nothing runs.
     pub refused: bool,
-    /// Its caller ended it; when that was answered.
+    /// When the caller's cancellation was confirmed.
     pub ended_at: Option<Duration>,
     pub results: Vec<Result>,
 }
 
-/// What was done to the fleet.
+/// An injected fault and when it was active.
 #[derive(Debug, Clone)]
 pub struct Done {
     pub fault: Fault,
@@ -52,7 +52,7 @@
     pub until: Duration,
 }
 
-/// Everything that the checks need.
+/// All records that the checks need.
 pub struct Ledger {
     pub started: Duration,
     pub vms: Vec<SocketAddr>,
@@ -63,7 +63,7 @@
 }
 
 impl Ledger {
-    /// Nothing seen yet.
+    /// Creates an empty ledger.
     pub fn new(fleet: &Fleet, started: Duration) -> Ledger {
         Ledger {
             started,
@@ -75,25 +75,25 @@
         }
     }
 
-    /// Notes something that must not be.
+    /// Records a violation.
     pub fn broken(&self, at: Duration, what: String) {
         let since = at.saturating_sub(self.started).as_secs_f64();
         lock(&self.broken).push(format!("{since:.3} s: {what}"));
     }
 
-    /// All that must not be.
+    /// All violations so far.
     pub fn all_broken(&self) -> Vec<String> {
         lock(&self.broken).clone()
     }
 
-    /// Requests, and jobs that were accepted.
+    /// Numbers of requests and of accepted jobs.
     pub fn counts(&self) -> (usize, usize) {
         let jobs = lock(&self.jobs);
         let accepted = jobs.values().filter(|job| job.accepted_at.is_some());
         (lock(&self.asked).len(), accepted.count())
     }
 
-    /// Whether something was done between the two moments that `matters`.
+    /// Whether a fault that `matters` was active at any time in the interval.
     pub fn disturbed(
         &self,
         from: Duration,
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs the real program as separate processes on loopback, disturbs them from outside, and checks what
-//! callers and endpoints see while it goes on.
+//! Runs the real program as separate processes on loopback, injects faults from outside, and checks
+//! what callers and endpoints observe meanwhile.
 
 pub mod callers;
 pub mod checks;
@@ -20,20 +20,20 @@
 use self::ledger::Ledger;
 use self::plan::{Size, Step};
 
-/// What one seed showed.
+/// Result of one seed.
 pub struct Report {
     pub seed: u64,
     pub steps: Vec<Step>,
-    /// What did not hold; empty when all did.
+    /// Violations; empty when all invariants held.
     pub broken: Vec<String>,
-    /// Requests asked, and jobs that were accepted.
+    /// Number of online requests. `jobs` counts accepted jobs.
     pub asked: usize,
     pub jobs: usize,
-    /// Settings and logs, kept when something did not hold.
+    /// Folder with settings and logs, kept when there are violations.
     pub folder: PathBuf,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub fn run(program: &str, seed: u64, size: &Size) -> io::Result<Report> {
     let mut fleet = Fleet::start_linked(program, size.vms, size.endpoints)?;
     for endpoint in &fleet.endpoints {
@@ -69,7 +69,7 @@
     })
 }
 
-/// Every process ends by itself, and well, when it is told to.
+/// Sends each process the stop signal and checks that it ends by itself without an error.
 fn end_well(fleet: &mut Fleet) -> Vec<String> {
     fleet
         .vms
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `bramley-soak`: random faults, seed by seed.
+//! `bramley-soak`: fault injection with random faults, one run per seed.
 
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -66,7 +66,7 @@
     }
 }
 
-/// Plays one seed and prints what came of it; true when all held.
+/// Runs one seed and prints its result. Returns true when all invariants held.
 fn play(matches: &ArgMatches, seed: u64) -> bool {
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(0);
     let size = Size {
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults come when: all of it follows from the seed.
+//! Draws the faults of a run from its seed.
 
 use std::time::Duration;
 
@@ -10,22 +10,22 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, EnumIter, EnumString, IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Fault {
-    /// The process is killed and started again.
+    /// The process is killed and restarted.
     VmKilled,
     VmPaused,
-    /// Planned: told to end, and started again.
+    /// Planned: the process is stopped by a signal and restarted.
     VmStopped,
-    /// Planned: told that its settings have changed.
+    /// Planned: the process reloads its settings on a signal.
     VmReloaded,
     StoreAway,
     StoreLosesAnswers,
     StoreRefuses,
     StoreDeaf,
     StoreForgets,
-    /// One VM can't reach the store.
+    /// One VM cannot reach the store.
     StoreLinkCut,
     StoreLinkSilent,
-    /// Calls arrive at the store, and its answers do not come back.
+    /// Calls reach the store, and its answers are lost.
     StoreLinkOneWay,
     StoreLinkSlow,
     EngineSilent,
@@ -38,24 +38,24 @@
     EngineLinkOneWay,
     EngineLinkSlow,
     EngineLinkReset,
-    /// Planned: an endpoint says that it leaves.
+    /// Planned: an endpoint reports that it is draining.
     EngineLeaves,
-    /// Planned: new rules with one more route.
+    /// Planned: a new configuration with one more route.
     RulesChange,
-    /// The connections on which watches wait at the store go silent for good, of all VMs.
+    /// For all VMs, store connections on which watches wait go silent for good.
     WatchesSilent,
-    /// The same of one VM, and only the store's answers are lost.
+    /// The same for one VM, and only the store's answers are lost.
     WatchSilentOneWay,
-    /// All connections of one VM to the store go silent for good, and so does the first that takes their place.
+    /// All connections of one VM to the store go silent for good, and so does the first new one.
     StoreLinkForgets,
-    /// Connections to an endpoint that carry nothing for a while go silent for good.
+    /// Connections to an endpoint that carry no traffic for a while go silent for good.
     EngineIdleSilent,
-    /// An endpoint's process ends with all that runs there, and another one takes its place.
+    /// An endpoint's process ends with all its runs, and another one replaces it.
     EngineEnds,
 }
 
 impl Fault {
-    /// Whether it is planned work, during which nobody's answer may be cut.
+    /// Whether this is planned work, during which no answer may be cut.
     pub fn planned(self) -> bool {
         matches!(
             self,
@@ -63,7 +63,8 @@
         )
     }
 
-    /// Whether operators change something soon after, beside which it is to show what it does.
+    /// Whether planned changes follow soon after, which reveal the effect of the silent
+    /// connections.
     pub fn followed(self) -> bool {
         matches!(
             self,
@@ -71,39 +72,39 @@
         )
     }
 
-    /// Whether what it does to connections lasts, while the fault itself is over at once.
+    /// Whether the effect on connections lasts although the fault itself ends at once.
     pub fn at_once(self) -> bool {
         self.followed() || self == Fault::EngineIdleSilent
     }
 
-    /// Whether it is planned work that stops this VM.
+    /// Whether this is planned work that stops the given VM.
     pub fn stops(self, vm: usize, target: usize) -> bool {
         matches!(self, Fault::VmStopped | Fault::VmReloaded) && vm == target
     }
 
-    /// Whether it is done to a VM or its link to the store.
+    /// Whether the fault targets a VM or its link to the store.
     pub fn on_vm(self) -> bool {
         let name: &'static str = self.into();
         name.starts_with("vm") || name.starts_with("store_link")
     }
 }
 
-/// One fault on its way.
+/// A planned fault.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Step {
     pub at: Duration,
     pub lasts: Duration,
     pub fault: Fault,
-    /// Which VM or endpoint.
+    /// Index of the VM or endpoint.
     pub target: usize,
 }
 
-/// How large a run is.
+/// Size of a run.
 #[derive(Debug, Clone)]
 pub struct Size {
     pub vms: usize,
     pub endpoints: usize,
-    /// Time in which faults begin.
+    /// Time span in which faults begin.
     pub length: Duration,
     pub faults: usize,
     /// Kinds that are drawn from.
@@ -111,7 +112,7 @@
 }
 
 impl Size {
-    /// A few processes for some seconds; what a seed draws beyond that is the faults.
+    /// A few processes for some seconds; seeds differ in their faults only.
     pub fn small() -> Size {
         Size {
             vms: 3,
@@ -123,10 +124,10 @@
     }
 }
 
-/// Time after connections have gone silent by which VMs count as sound again, and a little more.
+/// Time after which VMs whose connections went silent count as free of faults again, with a margin.
 const SOUND_AGAIN: Duration = Duration::from_millis(4200);
 
-/// New rules, and an engine that leaves, once the VMs count as sound.
+/// A configuration change and a draining engine, once the VMs count as free of faults.
 fn followers(step: &Step) -> Vec<Step> {
     if !step.fault.followed() {
         return Vec::new();
@@ -141,7 +142,7 @@
     vec![rules, change(Fault::EngineLeaves, 300)]
 }
 
-/// Draws the faults of a seed, in order of their start. They overlap as they come.
+/// Draws the faults of a seed, in order of their start; they may overlap.
 pub fn draw(seed: u64, size: &Size) -> Vec<Step> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let kinds = &size.kinds;
@@ -165,7 +166,7 @@
     let followers: Vec<Step> = steps.iter().flat_map(followers).collect();
     steps.extend(followers);
     steps.sort_by_key(|step| step.at);
-    // Two engines always stay, so that callers can be served when all is over.
+    // At least two engines stay, so that callers can be served when all faults are over.
     let mut leaving = 0;
     steps.retain(|step| {
         leaving += usize::from(step.fault == Fault::EngineLeaves);
--- a/src/model.rs
+++ b/src/model.rs
@@ -1,8 +1,9 @@
-//! A model of engines and of fleets before them, to compare decisions without a network.
+//! A discrete-time simulation of engines and of the VMs in front of them, to compare routing and
+//! scheduling decisions without a network.
 //!
-//! Engines behave as their published protocol tells; the VMs decide with the very code of
-//! [`crate::decide`]. Time is played, so that a minute of 60 engines and 52 VMs takes about a second, and
-//! a seed gives the same minute again.
+//! Engines follow the published behaviour of continuous-batching inference servers; the VMs run the
+//! production code of [`crate::decide`]. Time is simulated: a minute of 60 engines and 52 VMs takes
+//! about a second, and the same seed gives the same result.
 
 pub mod engine;
 pub mod fleet;
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -1,63 +1,65 @@
-//! One engine: it admits in order of arrival, and all it runs advance by one token a step.
+//! One simulated engine with continuous batching: it admits requests in order of arrival, and every
+//! running request advances by one token per step.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Names one try of one request.
+/// Identifies one attempt of one request.
 pub type RunId = u64;
 
-/// What an engine can do. Times as its operators publish them.
+/// Capacity and timing of an engine, as its operators publish them.
 #[derive(Debug, Clone, Serialize)]
 pub struct Spec {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     pub slots: usize,
-    /// Requests that wait; more are refused.
+    /// Requests that may wait; further ones are refused.
     pub queue: usize,
-    /// A step with one request.
+    /// Base duration of a step, in milliseconds.
     pub step_ms: f64,
-    /// What each running request adds to a step.
+    /// Time that each running request adds to a step.
     pub step_ms_per_run: f64,
-    /// What a thousand tokens in memory add to a step.
+    /// Time that a thousand tokens in memory add to a step.
     pub context_ms_per_k: f64,
     pub prefill_tokens_per_ms: f64,
-    /// Prompt tokens read in one step at the most, between the tokens of other requests.
+    /// Maximum number of prompt tokens read in one step, between the tokens of other requests.
     pub chunk_tokens: u32,
-    /// Tokens in one event.
+    /// Tokens per event of the answer.
     pub stride_tokens: u32,
-    /// Tokens that fit into memory, of running requests and of kept prompt parts.
+    /// Tokens that fit into memory, of running requests and cached prompt parts together.
     pub memory_tokens: u32,
 }
 
-/// A part of a prompt that other prompts may begin with too.
+/// A part of a prompt; other prompts may begin with the same part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Part {
     pub id: u64,
     pub tokens: u32,
 }
 
-/// What is asked of an engine.
+/// A request to an engine.
 #[derive(Debug, Clone)]
 pub struct Work {
     pub run: RunId,
     pub prompt: Vec<Part>,
-    /// Tokens that an earlier run has made already; they are read like the prompt.
+    /// Tokens that an earlier run of the request has generated already; they are read like the
+    /// prompt.
     pub made_before: u32,
-    /// Tokens still to be made.
+    /// Tokens still to be generated.
     pub tokens_out: u32,
 }
 
-/// What comes from an engine.
+/// An observable event of a run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Seen {
     First,
-    /// So many tokens of this run were sent by now.
+    /// Number of tokens of this run that were sent so far.
     Made(u32),
     Ended,
 }
 
-/// What came, when, and of which run.
+/// An event of a run, with its time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sent {
     pub at: Duration,
@@ -85,17 +87,18 @@
     }
 }
 
-/// One engine.
+/// The simulated engine.
 #[derive(Debug, Clone)]
 pub struct Engine {
     spec: Spec,
-    /// End of the step under way.
+    /// End of the current step.
     clock: Duration,
     waiting: VecDeque<Work>,
     running: Vec<Running>,
-    /// Kept prompt parts, by the hash of all parts up to them: tokens and when last used.
+    /// Cached prompt parts, by the hash of all parts up to and including them: token count and time
+    /// of last use.
     kept: HashMap<u64, (u32, Duration)>,
-    /// Slots in use, added up over time; for the share of time in which slots stood empty.
+    /// Slots in use, integrated over time; gives the share of time in which slots were used.
     pub busy_slots: Duration,
     pub preempted: u64,
 }
@@ -114,7 +117,8 @@
         }
     }
 
-    /// Takes work at `now`, to which the engine was advanced; false when it is refused.
+    /// Queues work at `now`, to which the engine must have been advanced. Returns false when the
+    /// queue is full.
     pub fn offer(&mut self, now: Duration, work: Work) -> bool {
         let full = self.running.len() >= self.spec.slots;
         if full && self.waiting.len() >= self.spec.queue {
@@ -125,18 +129,18 @@
         true
     }
 
-    /// The caller has closed the connection.
+    /// Drops a run because its caller has closed the connection.
     pub fn cancel(&mut self, run: RunId) {
         self.waiting.retain(|work| work.run != run);
         self.running.retain(|running| running.work.run != run);
     }
 
-    /// Requests that run and that wait.
+    /// Numbers of running and of waiting requests.
     pub fn load(&self) -> (usize, usize) {
         (self.running.len(), self.waiting.len())
     }
 
-    /// Plays all steps that end until then.
+    /// Simulates all steps that begin until `until`.
     pub fn advance(&mut self, until: Duration, out: &mut Vec<Sent>) {
         while self.clock <= until {
             self.admit();
@@ -148,7 +152,7 @@
         }
     }
 
-    /// Lets requests in, in order of arrival, while there are slots and memory.
+    /// Admits waiting requests in order of arrival while there are slots and memory.
     fn admit(&mut self) {
         while self.running.len() < self.spec.slots {
             let Some(work) = self.waiting.front() else {
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Tokens at the prompt's beginning that are kept.
+    /// Number of tokens at the beginning of the prompt that are cached.
     fn known(&mut self, prompt: &[Part]) -> u32 {
         let mut known = 0;
         let mut chain = 0;
@@ -196,7 +200,7 @@
         self.evict();
     }
 
-    /// Kept parts yield to running requests, those used longest ago first.
+    /// Evicts cached parts, least recently used first, until running requests fit into memory.
     fn evict(&mut self) {
         let held: u32 = self.running.iter().map(Running::held).sum();
         let mut kept: u32 = self.kept.values().map(|(tokens, _)| tokens).sum();
@@ -210,7 +214,8 @@
         }
     }
 
-    /// One step: a chunk of prompts is read, and each request whose prompt is read makes a token.
+    /// Runs one step: reads a chunk of prompts, and generates a token for each request whose prompt
+    /// is read.
     fn step(&mut self, out: &mut Vec<Sent>) {
         let mut chunk = self.spec.chunk_tokens;
         let mut read = 0;
@@ -232,7 +237,7 @@
         self.busy_slots += length * self.running.len() as u32;
         let mut ended = Vec::new();
         for (running, makes) in self.running.iter_mut().zip(making) {
-            // The step that reads the last of a prompt makes its first token.
+            // The step that reads the last of a prompt generates its first token.
             if makes || running.unread == 0 {
                 running.made += 1;
                 tell(running, &self.spec, self.clock, out);
@@ -249,7 +254,8 @@
         self.preempt();
     }
 
-    /// The newest request gives its memory up when it runs out, and is read again from the start.
+    /// Preempts the newest requests while memory is exceeded; their prompts are read again from the
+    /// start.
     fn preempt(&mut self) {
         self.evict();
         loop {
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet that plays: engines, VMs that decide, and what the VMs tell each other, late.
+//! A simulated fleet: engines, VMs that decide, and heartbeats between the VMs with delay and loss.
 
 mod batch;
 mod online;
@@ -26,33 +26,33 @@
 
 const SERVICE: u64 = 1;
 const WORKSPACE: u64 = 0;
-/// Length of one turn of the play.
+/// Length of one simulation step.
 const TURN: Duration = Duration::from_millis(1);
-/// Time after the last caller in which jobs go on.
+/// Time after the last arrival in which the simulation goes on, so that jobs can finish.
 const AFTER: Duration = Duration::from_secs(18);
 const TICK_MS: u64 = 25;
 const PLAN_MS: u64 = 50;
-/// Part of the time left that a caller waits before it comes again.
+/// A refused caller retries after at most this part of the time left to its deadline.
 const RETRY_PART: f64 = 1.0 / 3.0;
 
-/// The machines, and how the VMs work together.
+/// The machines of a simulation, and how the VMs cooperate.
 #[derive(Debug, Clone, Serialize)]
 pub struct Plan {
     pub domains: u64,
     pub vms: u64,
     pub engines: usize,
     pub engine: Spec,
-    /// Time between two heartbeats to the own failure domain while counts change.
+    /// Interval of heartbeats within the local failure domain while counts change.
     pub near: Duration,
-    /// The same to the others.
+    /// Interval of heartbeats to the other failure domains.
     pub far: Duration,
-    /// On the way, and until the receiver has taken it.
+    /// Time from sending a heartbeat until the receiver has applied it.
     pub delay: Duration,
-    /// Part of the heartbeats that are lost.
+    /// Share of the heartbeats that are lost.
     pub loss: f64,
     #[serde(skip)]
     pub policy: Policy,
-    /// Whether VMs take turns at free slots.
+    /// Whether VMs share free slots by slot grants.
     pub turns: bool,
 }
 
@@ -62,7 +62,7 @@
     online: Online,
     items: Items,
     usage: Usage,
-    /// Items that wait at the other VMs, as they last said.
+    /// Items that wait at the other VMs, as last reported.
     waiting: HashMap<VmId, (DomainId, u32)>,
     changed: bool,
     near_at: Duration,
@@ -72,7 +72,7 @@
 
 struct Asked {
     arrived_at: Duration,
-    /// Of the first try.
+    /// Time at which the request arrived first; deadline and time to first token count from it.
     first_at: Duration,
     prompt: Vec<Part>,
     tokens: u32,
@@ -85,7 +85,7 @@
     due: Duration,
     tokens: u32,
     made: u32,
-    /// What was made before the run under way.
+    /// Tokens generated before the current run.
     made_before: u32,
     run: Option<(RunId, EndpointId)>,
 }
@@ -100,7 +100,7 @@
     of: Of,
 }
 
-/// A fleet on its way through a load.
+/// The state of one simulation.
 pub struct Fleet<'a> {
     plan: &'a Plan,
     load: &'a Load,
@@ -112,14 +112,14 @@
     asked: HashMap<RequestId, Asked>,
     items: HashMap<ItemKey, Item>,
     beats: Vec<(Duration, usize, Rc<Beat>)>,
-    /// Callers that come again.
+    /// Refused callers that will retry: time, VM and request.
     returning: Vec<(Duration, usize, RequestId)>,
     rng: SmallRng,
     last_id: u64,
     seen: Outcome,
 }
 
-/// Plays a load from a seed.
+/// Simulates a load, with all random choices drawn from a seed.
 pub fn play(plan: &Plan, load: &Load, seed: u64) -> Outcome {
     let mut fleet = Fleet::new(plan, load, seed);
     let arrivals = load.draw(seed);
@@ -188,7 +188,7 @@
         self.return_callers();
         let millis = self.now.as_millis() as u64;
         for at in 0..self.vms.len() {
-            // VMs do not all look at the same moment.
+            // Offsets the ticks, so that VMs do not all act at the same moment.
             let offset = at as u64 * 7;
             if (millis + offset).is_multiple_of(TICK_MS) {
                 let mut out = Vec::new();
@@ -210,7 +210,7 @@
         self.last_id
     }
 
-    /// The VM of a caller: always the same, so that some VMs have more callers than others.
+    /// The VM of a caller: always the same one, so that some VMs have more callers than others.
     fn vm_of(&self, caller: u64) -> usize {
         let caller = caller % (CALLERS * self.plan.domains);
         let domain = caller % self.plan.domains;
--- a/src/model/fleet/batch.rs
+++ b/src/model/fleet/batch.rs
@@ -1,4 +1,4 @@
-//! Batch items of a played fleet.
+//! Batch items of a simulated fleet.
 
 use super::{note_uses, Fleet, Of, Run};
 use crate::decide::items::{self, ItemKey, ItemPlanner};
@@ -82,7 +82,7 @@
         };
         match sent.seen {
             Seen::First => {}
-            // Whole events are kept over a stop.
+            // Tokens of complete events are kept when the item is stopped.
             Seen::Made(_) => item.made += self.plan.engine.stride_tokens,
             Seen::Ended => {
                 self.seen.items_in_time += u64::from(sent.at <= item.due);
--- a/src/model/fleet/online.rs
+++ b/src/model/fleet/online.rs
@@ -1,4 +1,4 @@
-//! Online requests of a played fleet: from the caller to an engine, and back.
+//! Online requests of a simulated fleet: from the caller to an engine and back.
 
 use std::time::Duration;
 
@@ -44,7 +44,7 @@
                     retry_after,
                     ..
                 } => self.refused(vm, request, retry_after),
-                // Engines of the model are never silent.
+                // Simulated engines never stop answering.
                 online::Action::GiveUp { .. } => {}
             }
         }
@@ -77,7 +77,7 @@
         self.handle(vm, Event::Ended { request, outcome });
     }
 
-    /// Items make way at once when an endpoint has more than it runs.
+    /// Has batch items preempted at once when an endpoint has more requests than slots.
     pub(super) fn note_pressure(&mut self, vm: usize, endpoint: EndpointId) {
         let now = self.now;
         let vm = &mut self.vms[vm];
--- a/src/model/fleet/talk.rs
+++ b/src/model/fleet/talk.rs
@@ -1,4 +1,4 @@
-//! What the VMs of a played fleet tell each other.
+//! Heartbeats between the VMs of a simulated fleet.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::decide::usage::EndpointUse;
 use crate::id::{DomainId, EndpointId, VmId};
 
-/// What a VM tells.
+/// A heartbeat: the endpoint uses of a VM, and its waiting items.
 pub(super) struct Beat {
     from: VmId,
     domain: DomainId,
@@ -18,7 +18,7 @@
 }
 
 impl Fleet<'_> {
-    /// Sends heartbeats that are due.
+    /// Sends the heartbeats of a VM that are due.
     pub(super) fn tell(&mut self, at: usize) {
         let (now, plan) = (self.now, self.plan);
         let vm = &mut self.vms[at];
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: bursts of online requests and jobs with items, drawn from a seed.
+//! The generated load: bursts of online requests, and jobs with items, drawn from a seed.
 
 use std::time::Duration;
 
@@ -8,56 +8,56 @@
 
 use super::engine::Part;
 
-/// A load, with the rates of one deployment.
+/// Rates and sizes of a deployment's load.
 #[derive(Debug, Clone, Serialize)]
 pub struct Load {
     pub length: Duration,
-    /// Online requests a second over the whole length.
+    /// Mean number of online requests per second over the whole length.
     pub online_per_s: f64,
-    /// Parts of the mean rate by turns, each with its length.
+    /// Factors of the mean rate, each with its duration; the sequence repeats.
     pub steps: Vec<(Duration, f64)>,
     pub online_tokens: f64,
     pub prompt_tokens: u32,
-    /// Prompts begin with one of so many shared parts.
+    /// Number of different shared parts that prompts begin with.
     pub subjects: u64,
     pub shared_tokens: u32,
     pub jobs_per_s: f64,
     pub items: f64,
     pub item_tokens: f64,
-    /// Time that a job has.
+    /// Time from a job's arrival to its deadline.
     pub due: Duration,
-    /// Time to first token that a caller is promised.
+    /// Time to first token promised to callers.
     pub goal: Duration,
     pub deadline: Duration,
 }
 
-/// One thing that comes.
+/// One online request or job.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     pub at: Duration,
-    /// Which of many callers; each comes to the same VM every time.
+    /// The caller; each caller always connects to the same VM.
     pub caller: u64,
     pub what: What,
 }
 
-/// What comes.
+/// Content of an arrival.
 #[derive(Debug, Clone)]
 pub enum What {
     Online {
         prompt: Vec<Part>,
         tokens: u32,
     },
-    /// The tokens of each item.
+    /// Number of tokens of each item.
     Job {
         items: Vec<u32>,
     },
 }
 
-/// Callers of one failure domain; each opens its connections to one VM.
+/// Callers of one failure domain; each connects to one VM.
 pub const CALLERS: u64 = 80;
 
 impl Load {
-    /// All that comes, in order.
+    /// Draws all arrivals, in order of time.
     pub fn draw(&self, seed: u64) -> Vec<Arrival> {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut all = self.online(&mut rng);
@@ -124,13 +124,13 @@
     }
 }
 
-/// Time to the next one at a rate, as independent callers come.
+/// Time to the next arrival of a Poisson process with the given rate.
 fn pause(rng: &mut SmallRng, per_s: f64) -> Duration {
     let draw: f64 = rng.random_range(f64::EPSILON..1.0);
     Duration::from_secs_f64(-draw.ln() / per_s)
 }
 
-/// A size a quarter around the mean.
+/// A size drawn uniformly from 60 % to 140 % of the mean.
 fn about(rng: &mut SmallRng, mean: f64) -> u32 {
     (mean * rng.random_range(0.6..1.4)).round().max(1.0) as u32
 }
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -1,16 +1,16 @@
-//! What callers got in a played minute.
+//! Results of a simulation as callers see them.
 
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Counts of one play.
+/// Counts of one simulation.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Outcome {
     pub online: u64,
     pub online_in_time: u64,
     pub online_refused: u64,
-    /// Time to first token, in milliseconds, of what was answered.
+    /// Quantiles of the time to first token, in milliseconds, of answered requests.
     pub first_p50_ms: f64,
     pub first_p95_ms: f64,
     pub first_p99_ms: f64,
@@ -18,18 +18,18 @@
     pub items_in_time: u64,
     pub items_open: u64,
     pub items_stopped: u64,
-    /// Of these, runs that had made nothing yet: started in vain.
+    /// Stopped items whose last run had not generated a token.
     pub started_in_vain: u64,
-    /// Tries that an engine refused.
+    /// Attempts that an engine refused.
     pub refused_by_engines: u64,
-    /// Part of all slots in use while callers came.
+    /// Share of all slots in use while callers arrived.
     pub slots_used: f64,
     #[serde(skip)]
     pub firsts: Vec<Duration>,
 }
 
 impl Outcome {
-    /// Works out the quantiles once all is counted.
+    /// Computes the quantiles once all times are recorded.
     pub fn finish(&mut self) {
         self.firsts.sort_unstable();
         let quantile = |part: f64| {
@@ -42,12 +42,12 @@
         self.first_p99_ms = quantile(0.99);
     }
 
-    /// Part of the online requests whose first token was in time.
+    /// Share of the online requests whose first token was in time.
     pub fn online_share(&self) -> f64 {
         self.online_in_time as f64 / self.online.max(1) as f64
     }
 
-    /// Part of the items that were done in time.
+    /// Share of the items that were done in time.
     pub fn items_share(&self) -> f64 {
         self.items_in_time as f64 / self.items.max(1) as f64
     }
