--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -176,7 +176,7 @@
             let text = result.text.replace('\n', " ");
             ledger.broken(now, format!("item {} has the text {text}", result.item));
         }
-        // An item fails for good only after several failures, which engines produce here only
+        // An item fails for good after three failures, which engines produce here only
         // during this fault.
         let failing = |done: &Done| done.fault == Fault::EngineFails;
         if result.state != "completed" && !ledger.disturbed(Duration::ZERO, now, failing) {
--- a/src/bench.rs
+++ b/src/bench.rs
@@ -1,4 +1,4 @@
-//! The demo and the benchmarks, one file each. Speeds are compared within one run.
+//! The demo and the benchmarks, one module each. Speeds are only comparable within one run.
 
 pub mod demo;
 pub mod goodput;
@@ -15,10 +15,10 @@
 
 use clap::{ArgMatches, Command};
 
-/// What a benchmark returns.
+/// Result of a benchmark; the error is printed.
 pub type Outcome = Result<(), Box<dyn Error>>;
 
-/// The whole command line.
+/// Builds the command line.
 pub fn command() -> Command {
     Command::new("bramley-bench")
         .version(env!("CARGO_PKG_VERSION"))
@@ -34,7 +34,7 @@
         .subcommand(yielding::usage())
 }
 
-/// Runs the command line.
+/// Runs the subcommand that was given.
 pub fn run(matches: &ArgMatches) -> ExitCode {
     let Some((name, matches)) = matches.subcommand() else {
         return ExitCode::FAILURE;
--- a/src/bench/demo.rs
+++ b/src/bench/demo.rs
@@ -1,4 +1,4 @@
-//! `demo`: two failure domains on loopback, an online question, a batch job during a burst.
+//! `demo`: two failure domains on loopback, one online request, and a batch job during a burst.
 
 use std::error::Error;
 use std::path::PathBuf;
@@ -24,7 +24,7 @@
 const JOB_PATIENCE: Duration = Duration::from_secs(120);
 const LOOK: Duration = Duration::from_millis(100);
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     let hold = Arg::new("hold")
         .long("hold")
@@ -82,7 +82,7 @@
     println!("data {}", fleet.folder.display());
 }
 
-/// Applies the folder once more with the operators' command, to show what it says.
+/// Applies the configuration folder again with `bramleyctl`, to show its output.
 fn apply(fleet: &Fleet) -> Outcome {
     let mut program = std::env::current_exe()?;
     program.set_file_name("bramleyctl");
--- a/src/bench/goodput.rs
+++ b/src/bench/goodput.rs
@@ -1,4 +1,4 @@
-//! `goodput`: what is answered in time when more is asked than can be done.
+//! `goodput`: requests answered in time when more arrive than the engines can serve.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,11 +14,11 @@
 const TOKENS: u64 = 10;
 const ENGINES: usize = 2;
 const SLOTS: u32 = 8;
-/// A step with all slots full takes this long, so this many requests a second can be done.
+/// Duration of a step; the capacity in requests per second follows from it with all slots full.
 const STEP_US: u64 = 10_000;
 const AT_ONCE: Duration = Duration::from_millis(10);
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     Command::new("goodput").about("Answers in time at 0.5 to 3 times what can be done")
 }
@@ -54,7 +54,7 @@
         };
         let fleet = Fleet::start("goodput", &plan)?;
         let targets: Vec<SocketAddr> = fleet.entries.iter().map(|entry| entry.address).collect();
-        // One workspace asks within its share, the other one for all the rest.
+        // The first workspace stays within its share, the second one sends all other requests.
         let small = capacity * 0.2;
         let mut all = shots(&targets, small, KEYS[0].1, Duration::ZERO);
         let rest = capacity * factor - small;
--- a/src/bench/load.rs
+++ b/src/bench/load.rs
@@ -1,4 +1,5 @@
-//! Sends online requests at set times, whatever the answers take, and notes what comes back.
+//! Open-loop load generator: sends online requests at fixed times, however long the answers take,
+//! and records the answers.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -16,13 +17,13 @@
 
 const TIMEOUT: Duration = Duration::from_secs(30);
 const STACK_BYTES: usize = 256 * 1024;
-/// Longest time that is told apart, in microseconds.
+/// Longest time that the histogram can record, in microseconds; longer ones are recorded as this.
 const MOST_US: u64 = 60_000_000;
 
-/// One request to send.
+/// A request with the time at which to send it.
 #[derive(Debug, Clone)]
 pub struct Shot {
-    /// Since the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
     pub target: SocketAddr,
     pub key: String,
@@ -31,26 +32,26 @@
     pub attempt: String,
 }
 
-/// What came back.
+/// The outcome of one request.
 #[derive(Debug, Clone)]
 pub struct Sample {
     pub at: Duration,
-    /// How much later than planned it was sent.
+    /// Delay between the scheduled and the actual time of sending.
     pub late: Duration,
     pub first_token: Duration,
     pub total: Duration,
-    /// 0 when there was no answer.
+    /// HTTP status; 0 when there was no answer.
     pub status: u16,
-    /// Whether the end marker came.
+    /// Whether the end marker of a stream came, or the body was read to its end.
     pub whole: bool,
     pub key: String,
 }
 
-/// Times of a run, in microseconds.
+/// Histogram of times, in microseconds.
 pub struct Times(Histogram<u64>);
 
 impl Times {
-    /// Collects times.
+    /// Records all times.
     pub fn of(times: impl Iterator<Item = Duration>) -> Times {
         let mut histogram = Histogram::new_with_bounds(1, MOST_US, 3).expect("valid bounds");
         for time in times {
@@ -59,12 +60,12 @@
         Times(histogram)
     }
 
-    /// A quantile in milliseconds.
+    /// The value at a quantile, in milliseconds.
     pub fn ms(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// How many there are.
+    /// Number of recorded times.
     pub fn count(&self) -> u64 {
         self.0.len()
     }
@@ -81,7 +82,7 @@
     .to_string()
 }
 
-/// Sends all shots, in the order of their times, from a number of threads.
+/// Sends all requests in the order of their times, from `threads` threads.
 pub fn run(mut shots: Vec<Shot>, threads: usize) -> Vec<Sample> {
     shots.sort_by_key(|shot| shot.at);
     let shots = Arc::new(shots);
--- a/src/bench/overhead.rs
+++ b/src/bench/overhead.rs
@@ -1,4 +1,5 @@
-//! `overhead`: what the entry process adds to asking the engine directly, and what it costs.
+//! `overhead`: latency that the entry process adds to direct requests to an engine, and its use of
+//! processor time and memory.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -16,7 +17,7 @@
 const THREADS: usize = 64;
 const MIB: f64 = 1024.0 * 1024.0;
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     let rate = Arg::new("rate")
         .long("rate")
@@ -70,7 +71,8 @@
     let fleet = Fleet::start("overhead", &plan)?;
     let entry = fleet.entries[0].address;
     load::run(shots(entry, 100, 0, "warm"), THREADS);
-    // Half of the requests go straight to an engine and half through the entry process, in turn.
+    // Half of the requests go directly to an engine and half through the entry process,
+    // alternately.
     let before_ms = processor_ms(&fleet);
     let mut all = shots(entry, rate, 0, "entry");
     for (at, shot) in shots(entry, rate, 1, "direct").into_iter().enumerate() {
@@ -115,7 +117,7 @@
     Ok(())
 }
 
-/// Memory with 1,000 idle callers, and with 500 streams besides.
+/// Resident memory in MiB with 1,000 idle connections, and with 500 streams in addition.
 fn memory(fleet: &Fleet) -> Result<(f64, f64), Box<dyn std::error::Error>> {
     let entry = fleet.entries[0].address;
     let idle: Result<Vec<TcpStream>, _> = (0..1000).map(|_| TcpStream::connect(entry)).collect();
--- a/src/bench/play.rs
+++ b/src/bench/play.rs
@@ -1,4 +1,4 @@
-//! `play`: a deployment's load on a model of its engines, to compare decisions.
+//! `play`: simulates a deployment's load on a model of its engines, to compare decision policies.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 use crate::model::outcome::Outcome as Played;
 
 const SEEDS: u64 = 3;
-/// Parts of the deployment's usual load.
+/// Factors of the deployment's usual load.
 const LOADS: [f64; 8] = [0.5, 0.6, 0.7, 0.8, 0.9, 1.0, 1.1, 1.2];
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     let large = Arg::new("large")
         .long("large")
@@ -70,7 +70,7 @@
     (plan, load)
 }
 
-/// A quarter of it, for 17 s.
+/// A quarter of the large deployment, for 17 s.
 pub fn quarter() -> (Plan, Load) {
     let (mut plan, mut load) = large();
     plan.vms = 12;
@@ -81,7 +81,7 @@
     (plan, load)
 }
 
-/// A way to decide, as a change of the plan.
+/// A variant of the decisions, as a change of the fleet.
 struct Way {
     name: &'static str,
     change: fn(&mut Plan),
@@ -98,14 +98,14 @@
     ]
 }
 
-/// Plays all seeds, side by side.
+/// Simulates all seeds in parallel.
 fn play_seeds(plan: &Plan, load: &Load) -> Vec<Played> {
     std::thread::scope(|scope| {
         let started: Vec<_> = (0..SEEDS)
             .map(|seed| scope.spawn(move || play(plan, load, seed)))
             .collect();
         let ended = started.into_iter();
-        // A play that panics has said so itself, and is missing from the means.
+        // A simulation that panics has printed its message, and is left out of the means.
         ended.filter_map(|play| play.join().ok()).collect()
     })
 }
--- a/src/bench/plot.rs
+++ b/src/bench/plot.rs
@@ -1,4 +1,4 @@
-//! `plot`: a file of figures as curves.
+//! `plot`: draws the rows of a JSON file as curves.
 
 use std::collections::BTreeMap;
 use std::fs;
@@ -10,10 +10,10 @@
 use super::Outcome;
 
 const SIZE: (u32, u32) = (720, 420);
-/// Part of the highest value that is left free above it.
+/// Height of the chart as a factor of the highest value.
 const HEADROOM: f64 = 1.05;
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     let needed = |name: &'static str, help: &'static str| {
         Arg::new(name).long(name).help(help).required(true)
@@ -35,7 +35,7 @@
         .arg(needed("out", "SVG file to write"))
 }
 
-/// Points of each curve, by its name.
+/// Points of each curve, by the curve's name.
 type Curves = BTreeMap<String, Vec<(f64, f64)>>;
 
 /// Runs the command.
--- a/src/bench/prefixes.rs
+++ b/src/bench/prefixes.rs
@@ -1,4 +1,4 @@
-//! `prefixes`: hit rate and time to first token of each way of routing.
+//! `prefixes`: prefix cache hit rate and time to first token of each routing policy.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const GAP: Duration = Duration::from_millis(8);
 const PREFIXES: u32 = 60;
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     Command::new("prefixes").about("Cache hits and first tokens of each way of routing")
 }
@@ -45,7 +45,7 @@
         let targets: Vec<SocketAddr> = fleet.entries.iter().map(|entry| entry.address).collect();
         let mut rng = SmallRng::seed_from_u64(5);
         let shots = (0..REQUESTS).map(|at| {
-            // A few prefixes are asked for much more often than the others.
+            // Some prefixes are requested much more often than others.
             let number =
                 PREFIXES - f64::from(rng.random_range(0..PREFIXES * PREFIXES)).sqrt() as u32;
             let prompt = format!("prefix {number} {}", "of a long prompt ".repeat(60));
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -1,4 +1,4 @@
-//! `slopes`: what each part costs as the system grows, for docs/CAPACITY.md.
+//! `slopes`: costs of each part as the system grows, for docs/CAPACITY.md.
 
 use std::collections::HashMap;
 use std::hint::black_box;
@@ -38,7 +38,7 @@
 /// Bytes of IP and UDP headers of a datagram.
 const HEADER_BYTES: usize = 28;
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     let out = Arg::new("out")
         .long("out")
@@ -50,7 +50,7 @@
         .arg(out)
 }
 
-/// Runs a measurement several times; the median and the spread.
+/// Repeats a measurement; returns the median, the least and the greatest value.
 fn repeated(mut measure: impl FnMut() -> f64) -> Value {
     let mut values: Vec<f64> = (0..RUNS).map(|_| measure()).collect();
     values.sort_by(f64::total_cmp);
@@ -126,7 +126,7 @@
     spent: Duration,
 }
 
-/// Bytes a second sent by one VM, and its processor time, with everybody's heartbeats taken in.
+/// Bytes per second that one VM sends, and its processor time, receiving all heartbeats included.
 fn heartbeats(vms: usize, endpoints: usize, domains: usize) -> Value {
     const SECONDS: u64 = 60;
     const TICK: Duration = Duration::from_millis(20);
@@ -145,7 +145,7 @@
         .enumerate()
         .map(|(at, card)| (card.gossip_address, at))
         .collect();
-    // Delegates send and take in more than the others: the costliest VM is told.
+    // Delegates send and receive more than other VMs, so the maximum over all VMs is reported.
     let mut costs = vec![Cost::default(); tables.len()];
     let mut now = Duration::ZERO;
     while now < Duration::from_secs(SECONDS) {
@@ -301,13 +301,13 @@
     Ok(json!(rows))
 }
 
-/// Resident bytes that making something adds, for each of `count`.
+/// Resident bytes that `make` adds, per each of `count` objects.
 fn bytes_each<T>(count: usize, make: impl FnOnce() -> T) -> f64 {
     let pid = std::process::id();
     let before = resident_bytes(pid);
     let kept = make();
     let after = resident_bytes(pid);
-    // Given back, the memory would be used again by the next measurement, and none would be added.
+    // Freed memory would be reused by the next measurement, which would then see no increase.
     std::mem::forget(black_box(kept));
     after.saturating_sub(before) as f64 / count as f64
 }
@@ -351,7 +351,7 @@
     }
 }
 
-/// Processor time of the deciding functions for an item, with everything answered at once.
+/// Processor time per item of the batch decision functions, with every action answered at once.
 fn batch_decisions(jobs: usize, window: u32) -> Value {
     const ITEMS: usize = 4096;
     let mut batch = Batch::new(1, SmallRng::seed_from_u64(1));
@@ -457,7 +457,7 @@
     dump["processor_ms"].as_f64().unwrap_or(0.0)
 }
 
-/// Processor time of the entry process against tokens a second.
+/// Processor time of the entry process as a function of tokens per second.
 fn streams() -> Result<Value, Box<dyn std::error::Error>> {
     let behaviour = json!({ "slots": 256, "step_us": 20_000, "step_us_per_request": 0 });
     let service = json!({ "initial_limit": 256, "queue_limit": 1000 });
@@ -494,7 +494,7 @@
     Ok(json!(rows))
 }
 
-/// Writes of intents against requests a second.
+/// Intent writes to the store as a function of requests per second.
 fn intents() -> Result<Value, Box<dyn std::error::Error>> {
     const SECONDS: f64 = 4.0;
     const CALLERS: usize = 48;
@@ -562,7 +562,7 @@
     good
 }
 
-/// Runs all measurements.
+/// Runs all measurements, prints the figures and writes them to the file.
 pub fn run(matches: &ArgMatches) -> Outcome {
     let mut beats = Vec::new();
     for (vms, endpoints, domains) in [
--- a/src/bench/yielding.rs
+++ b/src/bench/yielding.rs
@@ -1,4 +1,4 @@
-//! `yielding`: batch throughput against the harm to online requests, in one run.
+//! `yielding`: batch throughput against the added latency of online requests, within one run.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -19,15 +19,15 @@
 const SLOTS: u32 = 16;
 const ITEM_TOKENS: u64 = 24;
 const ONLINE_TOKENS: u64 = 16;
-/// Half of each period is a burst, half is idle.
+/// The second half of each period is a burst of online requests, the first half has none.
 const PERIOD: Duration = Duration::from_secs(6);
 const PERIODS: u32 = 3;
 const BURST_GAP: Duration = Duration::from_millis(30);
 const JOBS: usize = 3;
-/// Small enough to lie inline.
+/// Small enough for the store to hold the content inline.
 const JOB_ITEMS: usize = 2_400;
 
-/// The arguments.
+/// The subcommand and its arguments.
 pub fn usage() -> Command {
     let weights = Arg::new("weights")
         .long("weights")
@@ -40,12 +40,12 @@
         .arg(weights)
 }
 
-/// One way of running batch work beside online requests.
+/// A variant of running batch items beside online requests.
 enum Way {
     NoBatch,
-    /// Straight into the engines, this many items at a time at each.
+    /// Directly at the engines, with this number of concurrent items at each.
     Fixed(u32),
-    /// By the system, with the knob at this value.
+    /// Through the system, with this value of `online_weight`.
     Weight(f64),
 }
 
@@ -79,7 +79,7 @@
     shots
 }
 
-/// What idle engines do: items a second with all slots full of batch items.
+/// Batch items per second on otherwise idle engines with all slots full.
 fn idle_rate(fleet: &Fleet) -> f64 {
     let done = fixed(fleet, SLOTS, Duration::from_secs(4), || {
         clock::sleep(Duration::from_secs(4));
@@ -87,7 +87,8 @@
     done as f64 / 4.0
 }
 
-/// Keeps a number of items in each engine while `work` runs; returns how many ended.
+/// Keeps `window` items running at each engine while `work` runs; returns the number that
+/// completed.
 fn fixed(fleet: &Fleet, window: u32, longest: Duration, work: impl FnOnce()) -> u64 {
     let stop = Arc::new(AtomicBool::new(false));
     let done = Arc::new(AtomicU64::new(0));
@@ -151,9 +152,10 @@
         }
         Way::Fixed(window) => fixed(&fleet, *window, length, run),
         Way::Weight(_) => {
-            // Wanted is more work than fits, so that batch is never short of it.
+            // More jobs than fit into the run, so that the system never runs out of batch items.
             for job in 0..JOBS {
-                // Another length is other content: each is a job of its own.
+                // A different number of lines is different content, so each submission is a job of
+                // its own.
                 fleet.send_job(0, &chat_lines(JOB_ITEMS - job, ITEM_TOKENS))?;
             }
             let before = done_by_system(&fleet);
@@ -167,7 +169,8 @@
             .filter(|sample| sample.status == 200 && sample.whole)
     };
     let times = Times::of(good().map(|sample| sample.first_token));
-    // Capacity that was idle: half of the time all of it; in bursts, what online did not use.
+    // Idle engine capacity: all of it in the first half of each period, and in bursts what online
+    // requests leave.
     Ok(json!({
         "way": name,
         "batch_items_per_s": done as f64 / length.as_secs_f64(),
--- a/src/bin/bramley-bench.rs
+++ b/src/bin/bramley-bench.rs
@@ -1,4 +1,4 @@
-//! Runs the demo and the benchmarks.
+//! `bramley-bench`: runs the demo and the benchmarks.
 
 use std::process::ExitCode;
 
--- a/tests/played_load.rs
+++ b/tests/played_load.rs
@@ -1,4 +1,4 @@
-//! A deployment's load on a model of its engines: what callers get.
+//! Simulates a deployment's load on a model of its engines, and checks what callers get.
 
 use std::time::Duration;
 
@@ -22,8 +22,9 @@
     played.iter().map(of).sum()
 }
 
-// Applicants wait at a full engine while others stand empty: each VM tells the others only now and then
-// what it has in flight. Told as it changes, more of the answers begin in time.
+// With heartbeats only every 500 ms, requests wait at full engines while others have free slots,
+// since a VM does not know what the others have in flight. Heartbeats at each change let more
+// answers begin in time.
 #[test]
 fn counts_told() {
     let seldom = played(|plan, _| plan.near = ms(500));
@@ -35,8 +36,9 @@
     assert!(shares.0 < shares.1, "{shares:?}");
 }
 
-// All VMs start items in the same free slots, and take most of them back before they have made anything. With
-// turns few are. Items that made way for a burst after they had made something count among the stops only.
+// Without slot grants, all VMs start items in the same free slots, and stop most of them before
+// they have generated a token. With slot grants few are stopped that early. Items preempted by a
+// burst after they have generated tokens count as stopped only, not as started in vain.
 #[test]
 fn turns_taken() {
     let rush = played(|plan, _| plan.turns = false);
@@ -59,7 +61,8 @@
     );
 }
 
-// At half of the load everybody is answered in time and all items are done: nothing is lost on the way.
+// At half of the load, all requests are answered in time and all items complete: the simulation
+// loses none.
 #[test]
 fn light_load() {
     let played = played(|_, load| {
@@ -113,7 +116,8 @@
     sent.iter().find(first).unwrap().at
 }
 
-// In order of arrival, so many at once, so many in the queue, the rest refused.
+// Requests are admitted in order of arrival, up to the number of slots; then up to the queue limit
+// they wait, and further ones are refused.
 #[test]
 fn engine_admits() {
     let mut engine = Engine::new(spec());
@@ -128,7 +132,7 @@
     assert_eq!(sent.iter().filter(|one| one.seen == Seen::Ended).count(), 3);
 }
 
-// A prompt that was read before is not read again; a longer one takes longer.
+// A cached prompt is not read again, so the first token comes sooner.
 #[test]
 fn engine_keeps_prompts() {
     let mut engine = Engine::new(spec());
@@ -139,7 +143,8 @@
     assert!(warm * 2 < cold, "{warm:?} {cold:?}");
 }
 
-// Memory runs out: the newest request is read again from the start, and all end whole.
+// When memory is exceeded, the newest request is preempted and its prompt read again; all requests
+// complete.
 #[test]
 fn engine_preempts() {
     let mut engine = Engine::new(spec());
--- a/tests/plotted_figures.rs
+++ b/tests/plotted_figures.rs
@@ -1,4 +1,4 @@
-//! Figures as curves: the real command on a small file.
+//! `bramley-bench plot` draws a JSON file of figures as curves.
 
 use std::fs;
 use std::process::Command;
