--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -12,25 +12,25 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-use super::ledger::{Asked, Job, Ledger, Result};
+use super::ledger::{Job, Ledger, OnlineRequest, Result};
 
 /// Pause between two requests of one caller.
-const PAUSE: Duration = Duration::from_millis(30);
+const REQUEST_PAUSE: Duration = Duration::from_millis(30);
 /// Pause between two jobs.
 const JOB_PAUSE: Duration = Duration::from_millis(600);
 /// Time after which every VM must know an accepted job.
-const SETTLED: Duration = Duration::from_millis(1000);
+const JOB_KNOWN_AFTER: Duration = Duration::from_millis(1000);
 /// Attempts to submit one job, each at another VM.
-const TRIES: usize = 2;
+const SUBMIT_ATTEMPTS_MAX: usize = 2;
 /// One job in this number is cancelled by its caller.
-const ENDED_PART: u32 = 6;
+const CANCEL_ONE_IN: u32 = 6;
 
 /// All callers of one run.
 pub struct Callers<'a> {
     ledger: &'a Ledger,
     seed: u64,
     vms: usize,
-    next: AtomicU64,
+    next_id: AtomicU64,
 }
 
 impl<'a> Callers<'a> {
@@ -40,22 +40,22 @@
             ledger,
             seed,
             vms: fleet.vms.len(),
-            next: AtomicU64::new(1),
+            next_id: AtomicU64::new(1),
         }
     }
 
     /// Starts the threads of all callers; they send requests until `stopping` is set.
     pub fn spawn<'s>(&'s self, scope: &'s Scope<'s, '_>, stopping: &'s AtomicBool) {
         for vm in 0..self.vms {
-            scope.spawn(move || self.online(vm, true, stopping));
-            scope.spawn(move || self.online(vm, false, stopping));
+            scope.spawn(move || self.run_online(vm, true, stopping));
+            scope.spawn(move || self.run_online(vm, false, stopping));
         }
-        scope.spawn(move || self.submitting(stopping));
-        scope.spawn(move || self.reading(stopping));
+        scope.spawn(move || self.run_submitter(stopping));
+        scope.spawn(move || self.run_reader(stopping));
     }
 
     fn id(&self, kind: &str) -> String {
-        format!("{kind}-{}", self.next.fetch_add(1, Ordering::SeqCst))
+        format!("{kind}-{}", self.next_id.fetch_add(1, Ordering::SeqCst))
     }
 
     fn rng(&self, stream: u64) -> SmallRng {
@@ -63,7 +63,7 @@
     }
 
     /// Sends requests to one VM; with `kept`, over one connection for as long as that stays open.
-    fn online(&self, vm: usize, kept: bool, stopping: &AtomicBool) {
+    fn run_online(&self, vm: usize, kept: bool, stopping: &AtomicBool) {
         let mut connection = agent();
         let mut repeatable = kept;
         while !stopping.load(Ordering::SeqCst) {
@@ -77,84 +77,84 @@
                 connection = agent();
             }
             let sent_at = clock::now();
-            let seen = ask_by(&connection, self.ledger.vms[vm], path, &id);
-            let asked = Asked {
+            let answer = ask_by(&connection, self.ledger.vms[vm], path, &id);
+            let request = OnlineRequest {
                 id,
                 repeatable,
                 vm,
                 sent_at,
                 ended_at: clock::now(),
-                seen,
+                answer,
             };
-            lock(&self.ledger.asked).push(asked);
-            clock::sleep(PAUSE);
+            lock(&self.ledger.requests).push(request);
+            clock::sleep(REQUEST_PAUSE);
         }
     }
 
-    fn submitting(&self, stopping: &AtomicBool) {
+    fn run_submitter(&self, stopping: &AtomicBool) {
         let mut rng = self.rng(1);
         while !stopping.load(Ordering::SeqCst) {
             let job = self.id("job");
             let items = rng.random_range(1..9);
             self.submit(&job, items, &mut rng);
             clock::sleep(JOB_PAUSE);
-            if rng.random_ratio(1, ENDED_PART) {
-                self.end(&job, &mut rng);
+            if rng.random_ratio(1, CANCEL_ONE_IN) {
+                self.cancel(&job, &mut rng);
             }
         }
     }
 
     fn submit(&self, job: &str, items: usize, rng: &mut SmallRng) {
-        let mut known = Job {
+        let mut record = Job {
             items,
             refused: true,
             ..Job::default()
         };
         let first = rng.random_range(0..self.vms);
-        for attempt in 0..TRIES {
+        for attempt in 0..SUBMIT_ATTEMPTS_MAX {
             let vm = (first + attempt) % self.vms;
-            let status = submit(self.ledger.vms[vm], job, items).map(|seen| seen.status);
-            known.refused &= matches!(status, Some(429 | 503));
+            let status = submit(self.ledger.vms[vm], job, items).map(|answer| answer.status);
+            record.refused &= matches!(status, Some(429 | 503));
             if status == Some(202) {
-                known.accepted_at = Some(clock::now());
+                record.accepted_at = Some(clock::now());
                 break;
             }
-            clock::sleep(PAUSE);
+            clock::sleep(REQUEST_PAUSE);
         }
-        lock(&self.ledger.jobs).insert(job.to_owned(), known);
+        lock(&self.ledger.jobs).insert(job.to_owned(), record);
     }
 
-    fn end(&self, job: &str, rng: &mut SmallRng) {
+    fn cancel(&self, job: &str, rng: &mut SmallRng) {
         let vm = self.ledger.vms[rng.random_range(0..self.vms)];
-        let ended = end(vm, job).is_some_and(|seen| seen.status == 200);
-        if let (true, Some(known)) = (ended, lock(&self.ledger.jobs).get_mut(job)) {
-            known.ended_at = Some(clock::now());
+        let ended = end(vm, job).is_some_and(|answer| answer.status == 200);
+        if let (true, Some(record)) = (ended, lock(&self.ledger.jobs).get_mut(job)) {
+            record.cancelled_at = Some(clock::now());
         }
     }
 
     /// Reads results of random jobs at random VMs, from a random position among those already read.
-    fn reading(&self, stopping: &AtomicBool) {
+    fn run_reader(&self, stopping: &AtomicBool) {
         let mut rng = self.rng(2);
         while !stopping.load(Ordering::SeqCst) {
-            clock::sleep(PAUSE);
+            clock::sleep(REQUEST_PAUSE);
             let accepted = accepted_jobs(self.ledger);
             if accepted.is_empty() {
                 continue;
             }
             let job = &accepted[rng.random_range(0..accepted.len())];
-            let known = lock(&self.ledger.jobs)[job].results.len();
-            let after = rng.random_range(0..=known);
+            let already_read = lock(&self.ledger.jobs)[job].results.len();
+            let after = rng.random_range(0..=already_read);
             let vm = rng.random_range(0..self.vms);
-            read(self.ledger, job, vm, after);
+            read_results(self.ledger, job, vm, after);
         }
     }
 }
 
 /// Jobs that were accepted long enough ago for every VM to know them.
 pub fn accepted_jobs(ledger: &Ledger) -> Vec<String> {
-    let settled = clock::now().saturating_sub(SETTLED);
+    let accepted_before = clock::now().saturating_sub(JOB_KNOWN_AFTER);
     let jobs = lock(&ledger.jobs);
-    let accepted = |job: &Job| job.accepted_at.is_some_and(|at| at <= settled);
+    let accepted = |job: &Job| job.accepted_at.is_some_and(|at| at <= accepted_before);
     let found = jobs.iter().filter(|(_, job)| accepted(job));
     let mut found: Vec<String> = found.map(|(id, _)| id.clone()).collect();
     found.sort();
@@ -163,24 +163,24 @@
 
 /// Reads one page of results, compares it with earlier reads, and keeps new results. Returns false
 /// when the VM did not return a complete page.
-pub fn read(ledger: &Ledger, job: &str, vm: usize, after: usize) -> bool {
-    let Some(seen) = results(ledger.vms[vm], job, after, 0) else {
+pub fn read_results(ledger: &Ledger, job: &str, vm: usize, after: usize) -> bool {
+    let Some(answer) = results(ledger.vms[vm], job, after, 0) else {
         return false;
     };
     let now = clock::now();
-    if seen.status == 404 {
-        ledger.broken(now, format!("VM {vm} says that there is no job {job}"));
+    if answer.status == 404 {
+        ledger.record_violation(now, format!("VM {vm} says that there is no job {job}"));
     }
-    if seen.status != 200 || !seen.whole {
+    if answer.status != 200 || !answer.whole {
         return false;
     }
-    let page = seen.json();
+    let page = answer.json();
     let mut jobs = lock(&ledger.jobs);
-    let Some(known) = jobs.get_mut(job) else {
+    let Some(record) = jobs.get_mut(job) else {
         return false;
     };
-    if page["total"].as_u64() != Some(known.items as u64) {
-        ledger.broken(now, format!("job {job} has {} items", page["total"]));
+    if page["total"].as_u64() != Some(record.items as u64) {
+        ledger.record_violation(now, format!("job {job} has {} items", page["total"]));
     }
     let rows = page["results"].as_array().cloned().unwrap_or_default();
     for (offset, row) in rows.iter().enumerate() {
@@ -190,15 +190,15 @@
             state: text("state"),
             text: text("text"),
         };
-        match known.results.get(after + offset) {
-            None => known.results.push(result),
+        match record.results.get(after + offset) {
+            None => record.results.push(result),
             Some(before) if *before == result => {}
             Some(before) => {
                 let what = format!(
                     "job {job} position {}: {before:?}, then {result:?}",
                     after + offset
                 );
-                ledger.broken(now, what);
+                ledger.record_violation(now, what);
             }
         }
     }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -10,24 +10,24 @@
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
-use super::checks::AFTERMATH;
-use super::ledger::{Done, Ledger};
+use super::checks::FAULT_EFFECT_TIME;
+use super::ledger::{InjectedFault, Ledger};
 use super::plan::{Fault, Step};
 
 /// Wrong answers of an engine per fault.
-const WRONG: u32 = 4;
+const WRONG_ANSWERS: u32 = 4;
 /// Store calls that fail per fault.
-const CALLS: u32 = 3;
-const SLOW: Duration = Duration::from_millis(150);
+const FAILED_CALLS: u32 = 3;
+const LINK_DELAY: Duration = Duration::from_millis(150);
 /// A connection to the store without traffic for this time is taken to carry a waiting watch.
-const WAITING: Duration = Duration::from_millis(1200);
+const WATCH_IDLE_TIME: Duration = Duration::from_millis(1200);
 /// A connection to an engine without traffic for this time waits for the next request, or for an
 /// answer that has stopped.
-const IDLE: Duration = Duration::from_millis(100);
+const ENGINE_IDLE_TIME: Duration = Duration::from_millis(100);
 /// Time in which a written configuration must be in force at VMs without faults.
-const RULES_KNOWN: Duration = Duration::from_millis(2000);
+const RULES_IN_FORCE_AFTER: Duration = Duration::from_millis(2000);
 /// Time in which a process must end after a stop signal; its settings allow it 6 s.
-pub const STOP_MAX: Duration = Duration::from_secs(9);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(9);
 
 /// Pause between two events of an engine's answers.
 pub const EVENT_PAUSE: Duration = Duration::from_millis(25);
@@ -36,36 +36,36 @@
 pub const FIRST_RULES: u64 = 2;
 
 /// Injects the faults of a plan.
-pub struct Disturber<'a> {
+pub struct FaultInjector<'a> {
     program: &'a str,
     fleet: &'a mut Fleet,
     ledger: &'a Ledger,
     /// Active faults: end time, step and index in the ledger.
-    under_way: Vec<(Duration, Step, usize)>,
+    active: Vec<(Duration, Step, usize)>,
     version: u64,
     routes: Vec<String>,
-    left: Vec<usize>,
+    draining: Vec<usize>,
     /// Written configuration versions that are still to be checked, with the time of writing.
     written: Vec<(u64, Duration)>,
 }
 
-impl<'a> Disturber<'a> {
+impl<'a> FaultInjector<'a> {
     /// Creates the injector; no fault is active yet.
-    pub fn new(program: &'a str, fleet: &'a mut Fleet, ledger: &'a Ledger) -> Disturber<'a> {
-        Disturber {
+    pub fn new(program: &'a str, fleet: &'a mut Fleet, ledger: &'a Ledger) -> FaultInjector<'a> {
+        FaultInjector {
             program,
             fleet,
             ledger,
-            under_way: Vec::new(),
+            active: Vec::new(),
             version: FIRST_RULES,
             routes: Vec::new(),
-            left: Vec::new(),
+            draining: Vec::new(),
             written: Vec::new(),
         }
     }
 
     /// Injects the steps at their times, and waits until all are reverted.
-    pub fn play(&mut self, steps: &[Step], length: Duration) {
+    pub fn run(&mut self, steps: &[Step], length: Duration) {
         let started = clock::now();
         let mut next = steps.iter().peekable();
         loop {
@@ -75,12 +75,11 @@
             }
             self.check_rules(now);
             let ended = |(until, ..): &mut (Duration, Step, usize)| *until <= now;
-            let ended: Vec<_> = self.under_way.extract_if(.., ended).collect();
-            for (_, step, place) in ended {
-                self.end(&step, place);
+            let ended: Vec<_> = self.active.extract_if(.., ended).collect();
+            for (_, step, index) in ended {
+                self.end(&step, index);
             }
-            let over =
-                now >= started + length && self.under_way.is_empty() && self.written.is_empty();
+            let over = now >= started + length && self.active.is_empty() && self.written.is_empty();
             if over && next.peek().is_none() {
                 return;
             }
@@ -89,7 +88,7 @@
     }
 
     /// Restores all endpoints and the store to normal behaviour.
-    pub fn calm(&mut self) {
+    pub fn restore(&mut self) {
         for endpoint in &self.fleet.endpoints {
             endpoint.behave(|b| {
                 *b = Behaviour {
@@ -103,28 +102,28 @@
     }
 
     fn begin(&mut self, now: Duration, step: &Step) {
-        let busy = self.under_way.iter().any(|(_, other, _)| {
-            other.fault.on_vm() == step.fault.on_vm() && other.target == step.target
+        let busy = self.active.iter().any(|(_, other, _)| {
+            other.fault.targets_vm() == step.fault.targets_vm() && other.target == step.target
         });
         // A VM has at most one fault at a time: a fault on a process that is down would have no
         // effect.
-        if step.fault.on_vm() && busy {
+        if step.fault.targets_vm() && busy {
             return;
         }
-        let mut done = lock(&self.ledger.done);
-        let place = done.len();
-        done.push(Done {
+        let mut faults = lock(&self.ledger.faults);
+        let index = faults.len();
+        faults.push(InjectedFault {
             fault: step.fault,
             target: step.target,
             from: now,
             until: Duration::MAX,
         });
-        drop(done);
-        let lasts = match step.fault.at_once() {
+        drop(faults);
+        let lasts = match step.fault.ends_at_once() {
             true => Duration::ZERO,
             false => step.lasts,
         };
-        self.under_way.push((now + lasts, *step, place));
+        self.active.push((now + lasts, *step, index));
         self.apply(step);
     }
 
@@ -136,60 +135,64 @@
             Fault::VmStopped => self.fleet.vms[target].signal(Signal::TERM),
             Fault::VmReloaded => self.fleet.vms[target].signal(Signal::HUP),
             Fault::StoreAway => self.fleet.store.behave(|b| b.away = true),
-            Fault::StoreLosesAnswers => self.fleet.store.behave(|b| b.lose_commits = CALLS),
-            Fault::StoreRefuses => self.fleet.store.behave(|b| b.refuse_commits = CALLS),
+            Fault::StoreLosesAnswers => self.fleet.store.behave(|b| b.lose_commits = FAILED_CALLS),
+            Fault::StoreRefuses => self.fleet.store.behave(|b| b.refuse_commits = FAILED_CALLS),
             Fault::StoreDeaf => self.fleet.store.behave(|b| b.deaf = true),
             Fault::StoreForgets => self.fleet.store.compact(),
             Fault::StoreLinkCut => self.fleet.vms[target].store.cut(true),
             Fault::StoreLinkSilent => self.fleet.vms[target].store.set(Mode::Silent),
             Fault::StoreLinkOneWay => self.fleet.vms[target].store.set(Mode::SilentDown),
-            Fault::StoreLinkSlow => self.fleet.vms[target].store.set(Mode::Delayed(SLOW)),
+            Fault::StoreLinkSlow => self.fleet.vms[target].store.set(Mode::Delayed(LINK_DELAY)),
             Fault::EngineSilent => self.fleet.endpoints[target].behave(|b| b.silent = true),
             Fault::EngineBreaks => self.fleet.endpoints[target].behave(|b| {
                 b.break_after = Some(2);
-                b.breaks = WRONG;
+                b.breaks = WRONG_ANSWERS;
             }),
-            Fault::EngineFull => self.fleet.endpoints[target].behave(|b| b.refuse = WRONG),
-            Fault::EngineFails => self.fleet.endpoints[target].behave(|b| b.fail = WRONG),
-            Fault::EngineCrosses => self.fleet.endpoints[target].behave(|b| b.cross = WRONG),
-            Fault::EngineUnsigned => self.fleet.endpoints[target].behave(|b| b.unsigned = WRONG),
-            Fault::EngineSkips => self.fleet.endpoints[target].behave(|b| b.gaps = WRONG),
+            Fault::EngineFull => self.fleet.endpoints[target].behave(|b| b.refuse = WRONG_ANSWERS),
+            Fault::EngineFails => self.fleet.endpoints[target].behave(|b| b.fail = WRONG_ANSWERS),
+            Fault::EngineCrosses => {
+                self.fleet.endpoints[target].behave(|b| b.cross = WRONG_ANSWERS)
+            }
+            Fault::EngineUnsigned => {
+                self.fleet.endpoints[target].behave(|b| b.unsigned = WRONG_ANSWERS)
+            }
+            Fault::EngineSkips => self.fleet.endpoints[target].behave(|b| b.gaps = WRONG_ANSWERS),
             Fault::EngineLinkOneWay => self.fleet.links[target].set(Mode::SilentUp),
-            Fault::EngineLinkSlow => self.fleet.links[target].set(Mode::Delayed(SLOW)),
+            Fault::EngineLinkSlow => self.fleet.links[target].set(Mode::Delayed(LINK_DELAY)),
             Fault::EngineLinkReset => self.fleet.links[target].reset(),
             Fault::EngineEnds => self.fleet.endpoints[target].end(),
-            Fault::EngineLeaves => self.leave(target),
+            Fault::EngineLeaves => self.drain(target),
             Fault::RulesChange => self.change_rules(),
             Fault::WatchesSilent => {
                 for vm in &self.fleet.vms {
-                    vm.store.silence_idle(WAITING, Silence::Both);
+                    vm.store.silence_idle(WATCH_IDLE_TIME, Silence::Both);
                 }
             }
             Fault::WatchSilentOneWay => {
                 self.fleet.vms[target]
                     .store
-                    .silence_idle(WAITING, Silence::Down);
+                    .silence_idle(WATCH_IDLE_TIME, Silence::Down);
             }
             Fault::StoreLinkForgets => {
                 self.fleet.vms[target].store.silence_open();
                 self.fleet.vms[target].store.silence_next(1);
             }
             Fault::EngineIdleSilent => {
-                self.fleet.links[target].silence_idle(IDLE, Silence::Both);
+                self.fleet.links[target].silence_idle(ENGINE_IDLE_TIME, Silence::Both);
             }
         }
     }
 
-    fn end(&mut self, step: &Step, place: usize) {
+    fn end(&mut self, step: &Step, index: usize) {
         let target = step.target;
         match step.fault {
             Fault::VmKilled => self.start(target),
             Fault::VmPaused => self.fleet.vms[target].signal(Signal::CONT),
             Fault::VmStopped => {
-                let ended = self.fleet.vms[target].wait_end(STOP_MAX);
+                let ended = self.fleet.vms[target].wait_end(STOP_TIMEOUT);
                 if ended != Some(true) {
                     let what = format!("VM {target} did not end well: {ended:?}");
-                    self.ledger.broken(clock::now(), what);
+                    self.ledger.record_violation(clock::now(), what);
                     self.fleet.vms[target].kill();
                 }
                 self.start(target);
@@ -212,7 +215,7 @@
             }
             _ => {}
         }
-        lock(&self.ledger.done)[place].until = clock::now();
+        lock(&self.ledger.faults)[index].until = clock::now();
     }
 
     fn start(&mut self, vm: usize) {
@@ -220,14 +223,14 @@
         let ready = started.and_then(|()| self.fleet.vms[vm].wait_listening());
         if let Err(error) = ready {
             let what = format!("VM {vm} does not start: {error}");
-            self.ledger.broken(clock::now(), what);
+            self.ledger.record_violation(clock::now(), what);
         }
     }
 
     /// Starts another engine in place of one that has ended; the runs of the ended one still count.
-    fn replace(&mut self, place: usize) {
-        let ended = self.fleet.endpoints[place].clone();
-        if ended.ended_at().is_none() || self.left.contains(&place) {
+    fn replace(&mut self, index: usize) {
+        let ended = self.fleet.endpoints[index].clone();
+        if ended.ended_at().is_none() || self.draining.contains(&index) {
             return;
         }
         self.fleet.store.remove(&entry_key(&ended));
@@ -240,24 +243,24 @@
             Ok(started) => started,
             Err(error) => {
                 let what = format!("an engine does not start: {error}");
-                return self.ledger.broken(clock::now(), what);
+                return self.ledger.record_violation(clock::now(), what);
             }
         };
         next.behave(|b| b.pause = EVENT_PAUSE);
         register_at(&self.fleet.store, &next, link.address, "ready");
-        self.fleet.endpoints[place] = next;
-        self.fleet.links[place] = link;
+        self.fleet.endpoints[index] = next;
+        self.fleet.links[index] = link;
         self.fleet.endpoints.push(ended);
     }
 
-    fn leave(&mut self, endpoint: usize) {
+    fn drain(&mut self, endpoint: usize) {
         let leaving = &self.fleet.endpoints[endpoint];
         if leaving.ended_at().is_some() {
             return;
         }
         let address = self.fleet.links[endpoint].address;
         register_at(&self.fleet.store, leaving, address, "draining");
-        self.left.push(endpoint);
+        self.draining.push(endpoint);
     }
 
     /// Writes a configuration with all present routes and one more.
@@ -271,20 +274,21 @@
 
     /// Checks that due configuration versions are in force at each VM without recent faults.
     fn check_rules(&mut self, now: Duration) {
-        let due = |(_, at): &mut (u64, Duration)| *at + RULES_KNOWN <= now;
+        let due = |(_, at): &mut (u64, Duration)| *at + RULES_IN_FORCE_AFTER <= now;
         let due: Vec<(u64, Duration)> = self.written.extract_if(.., due).collect();
         for (version, at) in due {
-            let from = at.saturating_sub(AFTERMATH);
-            for (vm, known) in self.fleet.vms.iter().enumerate() {
-                let unsound =
-                    |done: &Done| !done.fault.planned() || done.fault.stops(vm, done.target);
-                if self.ledger.disturbed(from, now, unsound) {
+            let from = at.saturating_sub(FAULT_EFFECT_TIME);
+            for (vm, process) in self.fleet.vms.iter().enumerate() {
+                let faulty = |injected: &InjectedFault| {
+                    !injected.fault.is_planned() || injected.fault.stops_vm(vm, injected.target)
+                };
+                if self.ledger.had_fault(from, now, faulty) {
                     continue;
                 }
-                let rules = known.dump()["rules"].as_u64().unwrap_or(0);
+                let rules = process.dump()["rules"].as_u64().unwrap_or(0);
                 if rules < version {
-                    let what = format!("{} has rules {rules} and not {version}", known.name);
-                    self.ledger.broken(now, what);
+                    let what = format!("{} has rules {rules} and not {version}", process.name);
+                    self.ledger.record_violation(now, what);
                 }
             }
         }
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -12,7 +12,7 @@
 use super::plan::Fault;
 
 /// One online request with its answer.
-pub struct Asked {
+pub struct OnlineRequest {
     pub id: String,
     /// Whether the request may run twice and be resumed.
     pub repeatable: bool,
@@ -20,7 +20,7 @@
     pub sent_at: Duration,
     pub ended_at: Duration,
     /// `None` when no answer came.
-    pub seen: Option<Seen>,
+    pub answer: Option<Seen>,
 }
 
 /// A result of a job as it was read first.
@@ -39,13 +39,13 @@
     /// Every attempt was refused with a status that promises that nothing runs.
     pub refused: bool,
     /// When the caller's cancellation was confirmed.
-    pub ended_at: Option<Duration>,
+    pub cancelled_at: Option<Duration>,
     pub results: Vec<Result>,
 }
 
 /// An injected fault and when it was active.
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct InjectedFault {
     pub fault: Fault,
     pub target: usize,
     pub from: Duration,
@@ -56,10 +56,10 @@
 pub struct Ledger {
     pub started: Duration,
     pub vms: Vec<SocketAddr>,
-    pub asked: Mutex<Vec<Asked>>,
+    pub requests: Mutex<Vec<OnlineRequest>>,
     pub jobs: Mutex<HashMap<String, Job>>,
-    pub done: Mutex<Vec<Done>>,
-    broken: Mutex<Vec<String>>,
+    pub faults: Mutex<Vec<InjectedFault>>,
+    violations: Mutex<Vec<String>>,
 }
 
 impl Ledger {
@@ -68,40 +68,40 @@
         Ledger {
             started,
             vms: fleet.vms.iter().map(|vm| vm.callers).collect(),
-            asked: Mutex::default(),
+            requests: Mutex::default(),
             jobs: Mutex::default(),
-            done: Mutex::default(),
-            broken: Mutex::default(),
+            faults: Mutex::default(),
+            violations: Mutex::default(),
         }
     }
 
     /// Records a violation.
-    pub fn broken(&self, at: Duration, what: String) {
+    pub fn record_violation(&self, at: Duration, what: String) {
         let since = at.saturating_sub(self.started).as_secs_f64();
-        lock(&self.broken).push(format!("{since:.3} s: {what}"));
+        lock(&self.violations).push(format!("{since:.3} s: {what}"));
     }
 
     /// All violations so far.
-    pub fn all_broken(&self) -> Vec<String> {
-        lock(&self.broken).clone()
+    pub fn all_violations(&self) -> Vec<String> {
+        lock(&self.violations).clone()
     }
 
     /// Numbers of requests and of accepted jobs.
     pub fn counts(&self) -> (usize, usize) {
         let jobs = lock(&self.jobs);
         let accepted = jobs.values().filter(|job| job.accepted_at.is_some());
-        (lock(&self.asked).len(), accepted.count())
+        (lock(&self.requests).len(), accepted.count())
     }
 
     /// Whether a fault that `matters` was active at any time in the interval.
-    pub fn disturbed(
+    pub fn had_fault(
         &self,
         from: Duration,
         until: Duration,
-        matters: impl Fn(&Done) -> bool,
+        matters: impl Fn(&InjectedFault) -> bool,
     ) -> bool {
-        let done = lock(&self.done);
-        let during = |done: &&Done| done.from <= until && done.until >= from;
-        done.iter().filter(during).any(matters)
+        let faults = lock(&self.faults);
+        let during = |fault: &&InjectedFault| fault.from <= until && fault.until >= from;
+        faults.iter().filter(during).any(matters)
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -16,7 +16,7 @@
 use bramleyseam_platform_standin::fleet::Fleet;
 
 use self::callers::Callers;
-use self::faults::Disturber;
+use self::faults::FaultInjector;
 use self::ledger::Ledger;
 use self::plan::{Size, Step};
 
@@ -48,15 +48,15 @@
     let ledger = Ledger::new(&fleet, clock::now());
     let stopping = AtomicBool::new(false);
     let callers = Callers::new(&fleet, &ledger, seed);
-    let mut disturber = Disturber::new(program, &mut fleet, &ledger);
+    let mut injector = FaultInjector::new(program, &mut fleet, &ledger);
     thread::scope(|scope| {
         callers.spawn(scope, &stopping);
-        disturber.play(&steps, size.length);
-        disturber.calm();
+        injector.run(&steps, size.length);
+        injector.restore();
         stopping.store(true, Ordering::SeqCst);
     });
-    let mut broken = checks::at_the_end(&fleet, &ledger);
-    broken.extend(end_well(&mut fleet));
+    let mut broken = checks::check_all(&fleet, &ledger);
+    broken.extend(stop_all(&mut fleet));
     fleet.keep_logs = !broken.is_empty();
     let (asked, jobs) = ledger.counts();
     Ok(Report {
@@ -70,13 +70,13 @@
 }
 
 /// Sends each process the stop signal and checks that it ends by itself without an error.
-fn end_well(fleet: &mut Fleet) -> Vec<String> {
+fn stop_all(fleet: &mut Fleet) -> Vec<String> {
     fleet
         .vms
         .iter()
         .for_each(|vm| vm.signal(rustix::process::Signal::TERM));
     let ended = |vm: &mut bramleyseam_platform_standin::fleet::Vm| {
-        let ended = vm.wait_end(faults::STOP_MAX);
+        let ended = vm.wait_end(faults::STOP_TIMEOUT);
         (ended != Some(true)).then(|| format!("{} did not end well: {ended:?}", vm.name))
     };
     fleet.vms.iter_mut().filter_map(ended).collect()
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -52,7 +52,7 @@
                 if seed >= first + number("seeds") {
                     return;
                 }
-                if !play(&matches, seed) {
+                if !run_seed(&matches, seed) {
                     failed.fetch_add(1, Ordering::SeqCst);
                 }
             });
@@ -67,7 +67,7 @@
 }
 
 /// Runs one seed and prints its result. Returns true when all invariants held.
-fn play(matches: &ArgMatches, seed: u64) -> bool {
+fn run_seed(matches: &ArgMatches, seed: u64) -> bool {
     let number = |name: &str| matches.get_one::<u64>(name).copied().unwrap_or(0);
     let size = Size {
         vms: number("vms") as usize,
@@ -78,7 +78,7 @@
     };
     let program = matches.get_one::<String>("program");
     match run(program.map_or("", String::as_str), seed, &size) {
-        Ok(report) => tell(&report),
+        Ok(report) => print_report(&report),
         Err(error) => {
             println!("seed {seed}: can't be played: {error}");
             false
@@ -93,7 +93,7 @@
     }
 }
 
-fn tell(report: &Report) -> bool {
+fn print_report(report: &Report) -> bool {
     let Report {
         seed, asked, jobs, ..
     } = report;
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -56,7 +56,7 @@
 
 impl Fault {
     /// Whether this is planned work, during which no answer may be cut.
-    pub fn planned(self) -> bool {
+    pub fn is_planned(self) -> bool {
         matches!(
             self,
             Fault::VmStopped | Fault::VmReloaded | Fault::EngineLeaves | Fault::RulesChange
@@ -65,7 +65,7 @@
 
     /// Whether planned changes follow soon after, which reveal the effect of the silent
     /// connections.
-    pub fn followed(self) -> bool {
+    pub fn has_followers(self) -> bool {
         matches!(
             self,
             Fault::WatchesSilent | Fault::WatchSilentOneWay | Fault::StoreLinkForgets
@@ -73,17 +73,17 @@
     }
 
     /// Whether the effect on connections lasts although the fault itself ends at once.
-    pub fn at_once(self) -> bool {
-        self.followed() || self == Fault::EngineIdleSilent
+    pub fn ends_at_once(self) -> bool {
+        self.has_followers() || self == Fault::EngineIdleSilent
     }
 
     /// Whether this is planned work that stops the given VM.
-    pub fn stops(self, vm: usize, target: usize) -> bool {
+    pub fn stops_vm(self, vm: usize, target: usize) -> bool {
         matches!(self, Fault::VmStopped | Fault::VmReloaded) && vm == target
     }
 
     /// Whether the fault targets a VM or its link to the store.
-    pub fn on_vm(self) -> bool {
+    pub fn targets_vm(self) -> bool {
         let name: &'static str = self.into();
         name.starts_with("vm") || name.starts_with("store_link")
     }
@@ -125,15 +125,15 @@
 }
 
 /// Time after which VMs whose connections went silent count as free of faults again, with a margin.
-const SOUND_AGAIN: Duration = Duration::from_millis(4200);
+const RECOVERED_AFTER: Duration = Duration::from_millis(4200);
 
 /// A configuration change and a draining engine, once the VMs count as free of faults.
 fn followers(step: &Step) -> Vec<Step> {
-    if !step.fault.followed() {
+    if !step.fault.has_followers() {
         return Vec::new();
     }
     let change = |fault, after_ms| Step {
-        at: step.at + SOUND_AGAIN + Duration::from_millis(after_ms),
+        at: step.at + RECOVERED_AFTER + Duration::from_millis(after_ms),
         fault,
         lasts: Duration::from_millis(200),
         target: 0,
@@ -150,7 +150,7 @@
     let mut steps: Vec<Step> = (0..size.faults)
         .map(|_| {
             let fault = kinds[rng.random_range(0..kinds.len())];
-            let targets = if fault.on_vm() {
+            let targets = if fault.targets_vm() {
                 size.vms
             } else {
                 size.endpoints
--- a/src/bench.rs
+++ b/src/bench.rs
@@ -16,7 +16,7 @@
 use clap::{ArgMatches, Command};
 
 /// Result of a benchmark; the error is printed.
-pub type Outcome = Result<(), Box<dyn Error>>;
+pub type BenchResult = Result<(), Box<dyn Error>>;
 
 /// Builds the command line.
 pub fn command() -> Command {
--- a/src/bench/demo.rs
+++ b/src/bench/demo.rs
@@ -12,8 +12,8 @@
 use serde_json::json;
 use signal_hook::consts::{SIGINT, SIGTERM};
 
-use super::load::{self, Sample, Shot, Times};
-use super::Outcome;
+use super::load::{self, Sample, ScheduledRequest, Times};
+use super::BenchResult;
 use crate::clock;
 use crate::standin::fleet::{chat_lines, Fleet, Plan, KEYS};
 
@@ -21,8 +21,8 @@
 const BURST_GAP: Duration = Duration::from_millis(25);
 const JOB_ITEMS: usize = 500;
 const JOB_TOKENS: u64 = 16;
-const JOB_PATIENCE: Duration = Duration::from_secs(120);
-const LOOK: Duration = Duration::from_millis(100);
+const JOB_TIMEOUT: Duration = Duration::from_secs(120);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// The subcommand and its arguments.
 pub fn usage() -> Command {
@@ -36,7 +36,7 @@
 }
 
 /// Runs the demo.
-pub fn run(matches: &ArgMatches) -> Outcome {
+pub fn run(matches: &ArgMatches) -> BenchResult {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, stop.clone())?;
@@ -50,20 +50,20 @@
         ..Plan::default()
     };
     let fleet = Fleet::start("demo", &plan)?;
-    list(&fleet);
+    print_addresses(&fleet);
     apply(&fleet)?;
     println!("ready");
     if matches.get_flag("hold") {
         while !stop.load(Ordering::SeqCst) {
-            clock::sleep(LOOK);
+            clock::sleep(POLL_INTERVAL);
         }
         return Ok(());
     }
-    question(&fleet)?;
+    ask_question(&fleet)?;
     job_in_burst(&fleet)
 }
 
-fn list(fleet: &Fleet) {
+fn print_addresses(fleet: &Fleet) {
     for entry in &fleet.entries {
         println!("entry {} http://{}", entry.name, entry.address);
     }
@@ -83,7 +83,7 @@
 }
 
 /// Applies the configuration folder again with `bramleyctl`, to show its output.
-fn apply(fleet: &Fleet) -> Outcome {
+fn apply(fleet: &Fleet) -> BenchResult {
     let mut program = std::env::current_exe()?;
     program.set_file_name("bramleyctl");
     let mut command = Program::new(program);
@@ -109,7 +109,7 @@
     }
 }
 
-fn question(fleet: &Fleet) -> Outcome {
+fn ask_question(fleet: &Fleet) -> BenchResult {
     let body = load::chat("May I put four tables on the pavement?", 12, true);
     let answer = fleet.ask(0, "POST", "/v1/chat/completions", &body)?;
     println!("question: May I put four tables on the pavement?");
@@ -136,7 +136,7 @@
 
 fn burst(fleet: &Fleet) -> Vec<Sample> {
     let count = (BURST.as_millis() / BURST_GAP.as_millis()) as u32;
-    let shots = (0..count).map(|at| Shot {
+    let requests = (0..count).map(|at| ScheduledRequest {
         at: BURST_GAP * at,
         target: fleet.entries[at as usize % fleet.entries.len()].address,
         key: KEYS[0].1.into(),
@@ -144,14 +144,14 @@
         stream: true,
         attempt: String::new(),
     });
-    load::run(shots.collect(), 64)
+    load::run(requests.collect(), 64)
 }
 
 fn print_times(name: &str, samples: &[Sample]) -> Result<(), Box<dyn Error>> {
     let good = || {
         samples
             .iter()
-            .filter(|sample| sample.status == 200 && sample.whole)
+            .filter(|sample| sample.status == 200 && sample.complete)
     };
     let times = Times::of(good().map(|sample| sample.first_token));
     println!(
@@ -167,26 +167,29 @@
     }
 }
 
-fn job_in_burst(fleet: &Fleet) -> Outcome {
+fn job_in_burst(fleet: &Fleet) -> BenchResult {
     print_times("without batch", &burst(fleet))?;
     let started = clock::now();
     let job = fleet.send_job(0, &chat_lines(JOB_ITEMS, JOB_TOKENS))?;
     let samples = thread::scope(|scope| {
         let burst = scope.spawn(|| burst(fleet));
-        let shown = fleet.wait_job(0, &job, JOB_PATIENCE);
+        let job_state = fleet.wait_job(0, &job, JOB_TIMEOUT);
         let took = clock::now().saturating_sub(started);
-        (burst.join(), shown, took)
+        (burst.join(), job_state, took)
     });
-    let (burst, shown, took) = samples;
+    let (burst, job_state, took) = samples;
     print_times("with batch", &burst.map_err(|_| "the load failed")?)?;
     let rate = JOB_ITEMS as f64 / took.as_secs_f64();
-    println!("job {job}: {} {}", shown["status"], shown["request_counts"]);
+    println!(
+        "job {job}: {} {}",
+        job_state["status"], job_state["request_counts"]
+    );
     println!(
         "batch: {JOB_ITEMS} items in {:.2} s, {rate:.0} items/s",
         took.as_secs_f64()
     );
     let wanted = json!({ "total": JOB_ITEMS, "completed": JOB_ITEMS, "failed": 0 });
-    match shown["status"] == "completed" && shown["request_counts"] == wanted {
+    match job_state["status"] == "completed" && job_state["request_counts"] == wanted {
         true => Ok(()),
         false => Err("the job did not complete".into()),
     }
--- a/src/bench/goodput.rs
+++ b/src/bench/goodput.rs
@@ -6,27 +6,32 @@
 use clap::{ArgMatches, Command};
 use serde_json::json;
 
-use super::load::{self, Sample, Shot, Times};
-use super::Outcome;
+use super::load::{self, Sample, ScheduledRequest, Times};
+use super::BenchResult;
 use crate::standin::fleet::{Fleet, Plan, KEYS};
 
-const RUN: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 const TOKENS: u64 = 10;
 const ENGINES: usize = 2;
 const SLOTS: u32 = 8;
 /// Duration of a step; the capacity in requests per second follows from it with all slots full.
 const STEP_US: u64 = 10_000;
-const AT_ONCE: Duration = Duration::from_millis(10);
+const PROMPT_REFUSAL_MAX: Duration = Duration::from_millis(10);
 
 /// The subcommand and its arguments.
 pub fn usage() -> Command {
     Command::new("goodput").about("Answers in time at 0.5 to 3 times what can be done")
 }
 
-fn shots(targets: &[SocketAddr], rate: f64, key: &str, offset: Duration) -> Vec<Shot> {
+fn requests(
+    targets: &[SocketAddr],
+    rate: f64,
+    key: &str,
+    offset: Duration,
+) -> Vec<ScheduledRequest> {
     let gap = Duration::from_secs_f64(1.0 / rate);
-    let count = (RUN.as_secs_f64() * rate) as u32;
-    let one = |at: u32| Shot {
+    let count = (RUN_TIME.as_secs_f64() * rate) as u32;
+    let one = |at: u32| ScheduledRequest {
         at: gap * at + offset,
         target: targets[at as usize % targets.len()],
         key: key.into(),
@@ -38,7 +43,7 @@
 }
 
 /// Runs the benchmark.
-pub fn run(_matches: &ArgMatches) -> Outcome {
+pub fn run(_matches: &ArgMatches) -> BenchResult {
     let capacity = f64::from(SLOTS) * ENGINES as f64 / (TOKENS as f64 * STEP_US as f64 / 1e6);
     let mut rows = Vec::new();
     for factor in [0.5, 0.9, 1.0, 1.5, 2.0, 3.0] {
@@ -56,15 +61,23 @@
         let targets: Vec<SocketAddr> = fleet.entries.iter().map(|entry| entry.address).collect();
         // The first workspace stays within its share, the second one sends all other requests.
         let small = capacity * 0.2;
-        let mut all = shots(&targets, small, KEYS[0].1, Duration::ZERO);
+        let mut all = requests(&targets, small, KEYS[0].1, Duration::ZERO);
         let rest = capacity * factor - small;
-        all.extend(shots(&targets, rest, KEYS[1].1, Duration::from_millis(1)));
+        all.extend(requests(
+            &targets,
+            rest,
+            KEYS[1].1,
+            Duration::from_millis(1),
+        ));
         let asked = all.len();
         let samples = load::run(all, 700);
         let goal = Duration::from_millis(580);
-        let good = |s: &&Sample| s.status == 200 && s.whole && s.first_token <= goal;
+        let good = |s: &&Sample| s.status == 200 && s.complete && s.first_token <= goal;
         let refused: Vec<&Sample> = samples.iter().filter(|s| s.status != 200).collect();
-        let at_once = refused.iter().filter(|s| s.total <= AT_ONCE).count();
+        let at_once = refused
+            .iter()
+            .filter(|s| s.total <= PROMPT_REFUSAL_MAX)
+            .count();
         let times = Times::of(
             samples
                 .iter()
@@ -76,7 +89,7 @@
         let row = json!({
             "asked_of_capacity": factor,
             "asked": asked,
-            "good_per_s": samples.iter().filter(good).count() as f64 / RUN.as_secs_f64(),
+            "good_per_s": samples.iter().filter(good).count() as f64 / RUN_TIME.as_secs_f64(),
             "capacity_per_s": capacity,
             "refused": refused.len(),
             "refused_within_10_ms": at_once as f64 / refused.len().max(1) as f64,
--- a/src/bench/load.rs
+++ b/src/bench/load.rs
@@ -18,11 +18,11 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 const STACK_BYTES: usize = 256 * 1024;
 /// Longest time that the histogram can record, in microseconds; longer ones are recorded as this.
-const MOST_US: u64 = 60_000_000;
+const TIME_MAX_US: u64 = 60_000_000;
 
 /// A request with the time at which to send it.
 #[derive(Debug, Clone)]
-pub struct Shot {
+pub struct ScheduledRequest {
     /// Time since the start of the run.
     pub at: Duration,
     pub target: SocketAddr,
@@ -37,13 +37,13 @@
 pub struct Sample {
     pub at: Duration,
     /// Delay between the scheduled and the actual time of sending.
-    pub late: Duration,
+    pub send_delay: Duration,
     pub first_token: Duration,
     pub total: Duration,
     /// HTTP status; 0 when there was no answer.
     pub status: u16,
     /// Whether the end marker of a stream came, or the body was read to its end.
-    pub whole: bool,
+    pub complete: bool,
     pub key: String,
 }
 
@@ -53,7 +53,7 @@
 impl Times {
     /// Records all times.
     pub fn of(times: impl Iterator<Item = Duration>) -> Times {
-        let mut histogram = Histogram::new_with_bounds(1, MOST_US, 3).expect("valid bounds");
+        let mut histogram = Histogram::new_with_bounds(1, TIME_MAX_US, 3).expect("valid bounds");
         for time in times {
             histogram.saturating_record((time.as_micros() as u64).max(1));
         }
@@ -83,20 +83,20 @@
 }
 
 /// Sends all requests in the order of their times, from `threads` threads.
-pub fn run(mut shots: Vec<Shot>, threads: usize) -> Vec<Sample> {
-    shots.sort_by_key(|shot| shot.at);
-    let shots = Arc::new(shots);
+pub fn run(mut requests: Vec<ScheduledRequest>, threads: usize) -> Vec<Sample> {
+    requests.sort_by_key(|scheduled| scheduled.at);
+    let requests = Arc::new(requests);
     let next = Arc::new(AtomicUsize::new(0));
     let samples = Arc::new(Mutex::new(Vec::new()));
     let start = clock::now();
     let workers: Vec<_> = (0..threads)
         .filter_map(|_| {
-            let (shots, next, samples) = (shots.clone(), next.clone(), samples.clone());
+            let (requests, next, samples) = (requests.clone(), next.clone(), samples.clone());
             let work = move || {
                 let agent = ureq::AgentBuilder::new().redirects(0).build();
-                while let Some(shot) = shots.get(next.fetch_add(1, Ordering::SeqCst)) {
-                    clock::sleep((start + shot.at).saturating_sub(clock::now()));
-                    let sample = send(&agent, shot, start);
+                while let Some(scheduled) = requests.get(next.fetch_add(1, Ordering::SeqCst)) {
+                    clock::sleep((start + scheduled.at).saturating_sub(clock::now()));
+                    let sample = send(&agent, scheduled, start);
                     lock(&samples).push(sample);
                 }
             };
@@ -114,27 +114,27 @@
     samples
 }
 
-fn send(agent: &ureq::Agent, shot: &Shot, start: Duration) -> Sample {
+fn send(agent: &ureq::Agent, scheduled: &ScheduledRequest, start: Duration) -> Sample {
     let sent = clock::now();
     let mut sample = Sample {
-        at: shot.at,
-        late: sent.saturating_sub(start + shot.at),
+        at: scheduled.at,
+        send_delay: sent.saturating_sub(start + scheduled.at),
         first_token: Duration::ZERO,
         total: Duration::ZERO,
         status: 0,
-        whole: false,
-        key: shot.key.clone(),
+        complete: false,
+        key: scheduled.key.clone(),
     };
-    let url = format!("http://{}/v1/chat/completions", shot.target);
+    let url = format!("http://{}/v1/chat/completions", scheduled.target);
     let request = agent
         .post(&url)
         .timeout(TIMEOUT)
-        .set("Authorization", &format!("Bearer {}", shot.key))
-        .set(ATTEMPT_HEADER, &shot.attempt);
-    match request.send_string(&shot.body) {
+        .set("Authorization", &format!("Bearer {}", scheduled.key))
+        .set(ATTEMPT_HEADER, &scheduled.attempt);
+    match request.send_string(&scheduled.body) {
         Ok(response) | Err(ureq::Error::Status(_, response)) => {
             sample.status = response.status();
-            read(response, shot.stream, sent, &mut sample);
+            read(response, scheduled.stream, sent, &mut sample);
         }
         Err(ureq::Error::Transport(_)) => {}
     }
@@ -146,7 +146,7 @@
     let mut reader = response.into_reader();
     if !stream || sample.status != 200 {
         let mut body = Vec::new();
-        sample.whole = reader.read_to_end(&mut body).is_ok();
+        sample.complete = reader.read_to_end(&mut body).is_ok();
         sample.first_token = clock::now().saturating_sub(sent);
         return;
     }
@@ -158,7 +158,7 @@
             sample.first_token = clock::now().saturating_sub(sent);
             first = false;
         }
-        sample.whole |= line.starts_with("data: [DONE]");
+        sample.complete |= line.starts_with("data: [DONE]");
         line.clear();
     }
 }
--- a/src/bench/overhead.rs
+++ b/src/bench/overhead.rs
@@ -7,13 +7,13 @@
 use clap::{Arg, ArgMatches, Command};
 use serde_json::{json, Value};
 
-use super::load::{self, Sample, Shot, Times};
-use super::Outcome;
+use super::load::{self, Sample, ScheduledRequest, Times};
+use super::BenchResult;
 use crate::clock;
 use crate::metrics::resident_bytes;
 use crate::standin::fleet::{Fleet, Plan, KEYS};
 
-const RUN: Duration = Duration::from_secs(6);
+const RUN_TIME: Duration = Duration::from_secs(6);
 const THREADS: usize = 64;
 const MIB: f64 = 1024.0 * 1024.0;
 
@@ -29,11 +29,11 @@
         .arg(rate)
 }
 
-fn shots(target: SocketAddr, rate: u64, offset: u64, tag: &str) -> Vec<Shot> {
+fn requests(target: SocketAddr, rate: u64, offset: u64, tag: &str) -> Vec<ScheduledRequest> {
     let gap = Duration::from_secs(1) * 2 / rate as u32;
-    let count = (RUN.as_secs_f64() / gap.as_secs_f64()) as u64;
+    let count = (RUN_TIME.as_secs_f64() / gap.as_secs_f64()) as u64;
     (0..count)
-        .map(|at| Shot {
+        .map(|at| ScheduledRequest {
             at: gap * at as u32 + gap / 2 * offset as u32,
             target,
             key: KEYS[0].1.into(),
@@ -56,7 +56,7 @@
 }
 
 /// Runs the benchmark.
-pub fn run(matches: &ArgMatches) -> Outcome {
+pub fn run(matches: &ArgMatches) -> BenchResult {
     let rate = matches.get_one::<u64>("rate").copied().unwrap_or(500);
     let behaviour = json!({
         "slots": 64, "step_us": 200, "step_us_per_request": 0, "prefill_us_per_token": 0,
@@ -70,32 +70,32 @@
     };
     let fleet = Fleet::start("overhead", &plan)?;
     let entry = fleet.entries[0].address;
-    load::run(shots(entry, 100, 0, "warm"), THREADS);
+    load::run(requests(entry, 100, 0, "warm"), THREADS);
     // Half of the requests go directly to an engine and half through the entry process,
     // alternately.
     let before_ms = processor_ms(&fleet);
-    let mut all = shots(entry, rate, 0, "entry");
-    for (at, shot) in shots(entry, rate, 1, "direct").into_iter().enumerate() {
-        all.push(Shot {
+    let mut all = requests(entry, rate, 0, "entry");
+    for (at, request) in requests(entry, rate, 1, "direct").into_iter().enumerate() {
+        all.push(ScheduledRequest {
             target: fleet.engines[at % fleet.engines.len()].address,
-            ..shot
+            ..request
         });
     }
     let targets: Vec<SocketAddr> = {
         let mut sorted = all.clone();
-        sorted.sort_by_key(|shot| shot.at);
-        sorted.iter().map(|shot| shot.target).collect()
+        sorted.sort_by_key(|request| request.at);
+        sorted.iter().map(|request| request.target).collect()
     };
     let samples = load::run(all, THREADS);
     let spent_ms = processor_ms(&fleet) - before_ms;
-    let side = |through: bool| -> Vec<Sample> {
+    let samples_of = |through: bool| -> Vec<Sample> {
         let pairs = samples.iter().zip(&targets);
         pairs
             .filter(|(_, t)| (**t == entry) == through)
             .map(|(s, _)| s.clone())
             .collect()
     };
-    let (direct, through) = (side(false), side(true));
+    let (direct, through) = (samples_of(false), samples_of(true));
     let (direct, through) = (quantiles(&direct), quantiles(&through));
     let added = |field: &str| {
         through[field].as_f64().unwrap_or(0.0) - direct[field].as_f64().unwrap_or(0.0)
@@ -128,7 +128,7 @@
     for engine in &fleet.engines {
         engine.control(json!({ "slots": 256, "step_us": 40_000 }));
     }
-    let streams = (0..500).map(|at| Shot {
+    let streams = (0..500).map(|at| ScheduledRequest {
         at: Duration::from_millis(at * 4),
         target: entry,
         key: KEYS[0].1.into(),
@@ -136,14 +136,14 @@
         stream: true,
         attempt: String::new(),
     });
-    let streams: Vec<Shot> = streams.collect();
+    let streams: Vec<ScheduledRequest> = streams.collect();
     let running = std::thread::spawn(move || load::run(streams, 500));
     clock::sleep(Duration::from_millis(3_000));
     let streaming_mib = resident_bytes(pid) as f64 / MIB;
     let samples = running.join().map_err(|_| "the load failed")?;
     let whole = samples
         .iter()
-        .filter(|sample| sample.whole && sample.status == 200)
+        .filter(|sample| sample.complete && sample.status == 200)
         .count();
     eprintln!("streams whole: {whole} of {}", samples.len());
     drop(idle);
--- a/src/bench/play.rs
+++ b/src/bench/play.rs
@@ -5,12 +5,12 @@
 use clap::{Arg, ArgAction, ArgMatches, Command};
 use serde_json::{json, Value};
 
-use super::Outcome;
+use super::BenchResult;
 use crate::decide::routing::Policy;
-use crate::model::engine::Spec;
-use crate::model::fleet::{play, Plan};
+use crate::model::engine::EngineSpec;
+use crate::model::fleet::{simulate, FleetSpec};
 use crate::model::load::Load;
-use crate::model::outcome::Outcome as Played;
+use crate::model::outcome::Outcome as SimulationOutcome;
 
 const SEEDS: u64 = 3;
 /// Factors of the deployment's usual load.
@@ -28,13 +28,13 @@
 }
 
 /// A deployment of 52 VMs and 60 engines, with bursts of 2.4 s and jobs of ten items.
-pub fn large() -> (Plan, Load) {
+pub fn large_fleet() -> (FleetSpec, Load) {
     let ms = Duration::from_millis;
-    let plan = Plan {
+    let fleet = FleetSpec {
         domains: 3,
         vms: 52,
         engines: 60,
-        engine: Spec {
+        engine: EngineSpec {
             slots: 7,
             queue: 24,
             step_ms: 2.77,
@@ -45,12 +45,12 @@
             stride_tokens: 12,
             memory_tokens: 117_808,
         },
-        near: ms(100),
-        far: ms(500),
+        local_interval: ms(100),
+        remote_interval: ms(500),
         delay: ms(2),
         loss: 0.002,
         policy: Policy::TwoChoices,
-        turns: true,
+        slot_grants: true,
     };
     let load = Load {
         length: Duration::from_secs(41),
@@ -67,81 +67,83 @@
         goal: ms(300),
         deadline: ms(5000),
     };
-    (plan, load)
+    (fleet, load)
 }
 
 /// A quarter of the large deployment, for 17 s.
-pub fn quarter() -> (Plan, Load) {
-    let (mut plan, mut load) = large();
-    plan.vms = 12;
-    plan.engines = 15;
+pub fn quarter_fleet() -> (FleetSpec, Load) {
+    let (mut fleet, mut load) = large_fleet();
+    fleet.vms = 12;
+    fleet.engines = 15;
     load.online_per_s /= 4.0;
     load.jobs_per_s /= 4.0;
     load.length = Duration::from_secs(17);
-    (plan, load)
+    (fleet, load)
 }
 
 /// A variant of the decisions, as a change of the fleet.
-struct Way {
+struct Variant {
     name: &'static str,
-    change: fn(&mut Plan),
+    change: fn(&mut FleetSpec),
 }
 
-fn ways() -> [Way; 5] {
-    let way = |name, change| Way { name, change };
+fn variants() -> [Variant; 5] {
+    let variant = |name, change| Variant { name, change };
     [
-        way("as-built", |_| ()),
-        way("without-turns", |plan| plan.turns = false),
-        way("told-seldom", |plan| plan.near = Duration::from_millis(500)),
-        way("least-load", |plan| plan.policy = Policy::LeastLoad),
-        way("affinity", |plan| plan.policy = Policy::Affinity),
+        variant("as-built", |_| ()),
+        variant("without-turns", |fleet| fleet.slot_grants = false),
+        variant("told-seldom", |fleet| {
+            fleet.local_interval = Duration::from_millis(500)
+        }),
+        variant("least-load", |fleet| fleet.policy = Policy::LeastLoad),
+        variant("affinity", |fleet| fleet.policy = Policy::Affinity),
     ]
 }
 
 /// Simulates all seeds in parallel.
-fn play_seeds(plan: &Plan, load: &Load) -> Vec<Played> {
+fn simulate_seeds(fleet: &FleetSpec, load: &Load) -> Vec<SimulationOutcome> {
     std::thread::scope(|scope| {
         let started: Vec<_> = (0..SEEDS)
-            .map(|seed| scope.spawn(move || play(plan, load, seed)))
+            .map(|seed| scope.spawn(move || simulate(fleet, load, seed)))
             .collect();
         let ended = started.into_iter();
         // A simulation that panics has printed its message, and is left out of the means.
-        ended.filter_map(|play| play.join().ok()).collect()
+        ended.filter_map(|thread| thread.join().ok()).collect()
     })
 }
 
-fn row(way: &str, part: f64, played: &[Played]) -> Value {
-    let mean = |of: fn(&Played) -> f64| {
-        let sum: f64 = played.iter().map(of).sum();
-        sum / played.len().max(1) as f64
+fn row(variant: &str, factor: f64, outcomes: &[SimulationOutcome]) -> Value {
+    let mean = |of: fn(&SimulationOutcome) -> f64| {
+        let sum: f64 = outcomes.iter().map(of).sum();
+        sum / outcomes.len().max(1) as f64
     };
     json!({
-        "way": way,
-        "load": part,
-        "plays": played.len(),
-        "online_in_time": mean(Played::online_share),
-        "items_in_time": mean(Played::items_share),
-        "first_p95_ms": mean(|one| one.first_p95_ms),
-        "first_p99_ms": mean(|one| one.first_p99_ms),
-        "items_stopped": mean(|one| one.items_stopped as f64),
-        "refused_by_engines": mean(|one| one.refused_by_engines as f64),
-        "slots_used": mean(|one| one.slots_used),
+        "way": variant,
+        "load": factor,
+        "plays": outcomes.len(),
+        "online_in_time": mean(SimulationOutcome::online_share),
+        "items_in_time": mean(SimulationOutcome::items_share),
+        "first_p95_ms": mean(|outcome| outcome.first_p95_ms),
+        "first_p99_ms": mean(|outcome| outcome.first_p99_ms),
+        "items_stopped": mean(|outcome| outcome.items_stopped as f64),
+        "refused_by_engines": mean(|outcome| outcome.refused_by_engines as f64),
+        "slots_used": mean(|outcome| outcome.slots_used),
     })
 }
 
 /// Runs the benchmark.
-pub fn run(matches: &ArgMatches) -> Outcome {
+pub fn run(matches: &ArgMatches) -> BenchResult {
     let mut rows = Vec::new();
-    for way in ways() {
-        for part in LOADS {
-            let (mut plan, mut load) = match matches.get_flag("large") {
-                true => large(),
-                false => quarter(),
+    for variant in variants() {
+        for factor in LOADS {
+            let (mut fleet, mut load) = match matches.get_flag("large") {
+                true => large_fleet(),
+                false => quarter_fleet(),
             };
-            load.online_per_s *= part;
-            load.jobs_per_s *= part;
-            (way.change)(&mut plan);
-            rows.push(row(way.name, part, &play_seeds(&plan, &load)));
+            load.online_per_s *= factor;
+            load.jobs_per_s *= factor;
+            (variant.change)(&mut fleet);
+            rows.push(row(variant.name, factor, &simulate_seeds(&fleet, &load)));
         }
     }
     println!("{}", serde_json::to_string_pretty(&rows)?);
--- a/src/bench/plot.rs
+++ b/src/bench/plot.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use serde_json::Value;
 
-use super::Outcome;
+use super::BenchResult;
 
 const SIZE: (u32, u32) = (720, 420);
 /// Height of the chart as a factor of the highest value.
@@ -39,7 +39,7 @@
 type Curves = BTreeMap<String, Vec<(f64, f64)>>;
 
 /// Runs the command.
-pub fn run(matches: &ArgMatches) -> Outcome {
+pub fn run(matches: &ArgMatches) -> BenchResult {
     let text = |name: &str| matches.get_one::<String>(name).map_or("", String::as_str);
     let (file, x, y, by) = (text("figures"), text("x"), text("y"), text("by"));
     let rows: Vec<Value> = serde_json::from_slice(&fs::read(file)?)?;
@@ -65,7 +65,7 @@
     curves
 }
 
-fn draw(curves: &Curves, x: &str, y: &str, out: &str) -> Outcome {
+fn draw(curves: &Curves, x: &str, y: &str, out: &str) -> BenchResult {
     let points = || curves.values().flatten();
     let low = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
     let high = points()
--- a/src/bench/prefixes.rs
+++ b/src/bench/prefixes.rs
@@ -9,13 +9,13 @@
 use serde_json::json;
 use strum::IntoEnumIterator;
 
-use super::load::{self, Shot, Times};
-use super::Outcome;
+use super::load::{self, ScheduledRequest, Times};
+use super::BenchResult;
 use crate::decide::routing::Policy;
 use crate::standin::fleet::{Fleet, Plan, KEYS};
 
 const REQUESTS: u32 = 900;
-const GAP: Duration = Duration::from_millis(8);
+const REQUEST_GAP: Duration = Duration::from_millis(8);
 const PREFIXES: u32 = 60;
 
 /// The subcommand and its arguments.
@@ -24,7 +24,7 @@
 }
 
 /// Runs the benchmark.
-pub fn run(_matches: &ArgMatches) -> Outcome {
+pub fn run(_matches: &ArgMatches) -> BenchResult {
     let mut rows = Vec::new();
     for policy in Policy::iter() {
         let name: &'static str = policy.into();
@@ -44,13 +44,13 @@
         let fleet = Fleet::start("prefixes", &plan)?;
         let targets: Vec<SocketAddr> = fleet.entries.iter().map(|entry| entry.address).collect();
         let mut rng = SmallRng::seed_from_u64(5);
-        let shots = (0..REQUESTS).map(|at| {
+        let requests = (0..REQUESTS).map(|at| {
             // Some prefixes are requested much more often than others.
             let number =
                 PREFIXES - f64::from(rng.random_range(0..PREFIXES * PREFIXES)).sqrt() as u32;
             let prompt = format!("prefix {number} {}", "of a long prompt ".repeat(60));
-            Shot {
-                at: GAP * at,
+            ScheduledRequest {
+                at: REQUEST_GAP * at,
                 target: targets[at as usize % targets.len()],
                 key: KEYS[0].1.into(),
                 body: load::chat(&prompt, 8, true),
@@ -58,7 +58,7 @@
                 attempt: String::new(),
             }
         });
-        let samples = load::run(shots.collect(), 300);
+        let samples = load::run(requests.collect(), 300);
         let sum = |field: &str| -> f64 {
             fleet
                 .engines
@@ -67,7 +67,7 @@
                 .sum()
         };
         let (hits, misses) = (sum("prefix_hits"), sum("prefix_misses"));
-        let good = || samples.iter().filter(|s| s.status == 200 && s.whole);
+        let good = || samples.iter().filter(|s| s.status == 200 && s.complete);
         let times = Times::of(good().map(|s| s.first_token));
         let row = json!({
             "policy": name,
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -13,8 +13,8 @@
 use serde_json::{json, Value};
 use strum::IntoEnumIterator;
 
-use super::load::{self, Shot};
-use super::Outcome;
+use super::load::{self, ScheduledRequest};
+use super::BenchResult;
 use crate::batch::items;
 use crate::clock;
 use crate::config::{diff, store, State, Versioned};
@@ -26,7 +26,7 @@
 use crate::decide::jobs::{ContentLocation, JobState, ResultSegment, Segment};
 use crate::decide::members::VmStatus;
 use crate::decide::routing::{choose, Policy, RouteQuery};
-use crate::entry::plan::Plan as Layout;
+use crate::entry::plan::Plan as EntryPlan;
 use crate::id;
 use crate::metrics::resident_bytes;
 use crate::standin::fleet::{call, chat_lines, Fleet, Plan, KEYS};
@@ -51,7 +51,7 @@
 }
 
 /// Repeats a measurement; returns the median, the least and the greatest value.
-fn repeated(mut measure: impl FnMut() -> f64) -> Value {
+fn measure_repeatedly(mut measure: impl FnMut() -> f64) -> Value {
     let mut values: Vec<f64> = (0..RUNS).map(|_| measure()).collect();
     values.sort_by(f64::total_cmp);
     json!({ "median": values[RUNS / 2], "least": values[0], "most": values[RUNS - 1] })
@@ -81,17 +81,17 @@
         let table = table(endpoints, 1);
         for policy in Policy::iter() {
             let mut rng = SmallRng::seed_from_u64(1);
-            let ns = repeated(|| {
+            let ns = measure_repeatedly(|| {
                 let rounds = 200_000 / endpoints as u64 + 200;
                 let start = clock::now();
                 for round in 0..rounds {
-                    let ask = RouteQuery {
+                    let query = RouteQuery {
                         service: SERVICE,
                         prefix: round | 1,
                         avoid: None,
                     };
                     let now = Duration::from_secs(1);
-                    let _ = black_box(choose(&table, 0, ask, policy, now, &mut rng));
+                    let _ = black_box(choose(&table, 0, query, policy, now, &mut rng));
                 }
                 clock::now().saturating_sub(start).as_nanos() as f64 / rounds as f64
             });
@@ -102,7 +102,7 @@
     json!(rows)
 }
 
-fn card(at: usize, domains: usize) -> VmStatus {
+fn vm_status(at: usize, domains: usize) -> VmStatus {
     let name = format!("vm-{at}");
     let address = SocketAddr::from(([10, 0, (at / 250) as u8, (at % 250) as u8], 7000));
     VmStatus {
@@ -131,34 +131,36 @@
     const SECONDS: u64 = 60;
     const TICK: Duration = Duration::from_millis(20);
     let key = Key::new("a secret for benchmarks");
-    let cards: Vec<VmStatus> = (0..vms * domains).map(|at| card(at, domains)).collect();
-    let mut tables: Vec<(FleetTable, Endpoints)> = cards
+    let statuses: Vec<VmStatus> = (0..vms * domains)
+        .map(|at| vm_status(at, domains))
+        .collect();
+    let mut tables: Vec<(FleetTable, Endpoints)> = statuses
         .iter()
-        .map(|card| {
-            let mut table = FleetTable::new(card.clone());
-            table.members.apply_vm_list(card, cards.clone());
+        .map(|status| {
+            let mut table = FleetTable::new(status.clone());
+            table.members.apply_vm_list(status, statuses.clone());
             (table, table_of(endpoints, domains))
         })
         .collect();
-    let by_address: HashMap<SocketAddr, usize> = cards
+    let by_address: HashMap<SocketAddr, usize> = statuses
         .iter()
         .enumerate()
-        .map(|(at, card)| (card.gossip_address, at))
+        .map(|(at, status)| (status.gossip_address, at))
         .collect();
     // Delegates send and receive more than other VMs, so the maximum over all VMs is reported.
     let mut costs = vec![Cost::default(); tables.len()];
     let mut now = Duration::ZERO;
     while now < Duration::from_secs(SECONDS) {
         now += TICK;
-        let mut wires = Vec::new();
+        let mut datagrams = Vec::new();
         for (at, (table, endpoints)) in tables.iter_mut().enumerate() {
             let mut out = Vec::new();
             let start = clock::now();
             // One endpoint in ten changes its use each second.
             let rows = endpoints.rows.len();
-            let turn = (now.as_millis() / 20) as usize;
-            if turn.is_multiple_of(5) && rows > 0 {
-                endpoints.rows[turn / 5 % rows].online_here ^= 1;
+            let tick_number = (now.as_millis() / 20) as usize;
+            if tick_number.is_multiple_of(5) && rows > 0 {
+                endpoints.rows[tick_number / 5 % rows].online_here ^= 1;
             }
             table.tick(now, endpoints, &mut out);
             for action in out {
@@ -168,7 +170,7 @@
                         let Ok(sealed) = sealed else { continue };
                         costs[at].sent_bytes += sealed.len() + HEADER_BYTES;
                         costs[at].datagrams += 1;
-                        wires.push((to, sealed));
+                        datagrams.push((to, sealed));
                     }
                     fleet::Action::Poll { endpoint } => {
                         let report = EndpointReport {
@@ -182,7 +184,7 @@
             }
             costs[at].spent += clock::now().saturating_sub(start);
         }
-        for (to, sealed) in wires {
+        for (to, sealed) in datagrams {
             let Some(at) = by_address.get(&to).copied() else {
                 continue;
             };
@@ -285,12 +287,12 @@
             "endpoints": 1900,
             "body_bytes": bytes,
             "frame_bytes": sealed,
-            "check_ms": repeated(|| millis(|| drop(crate::config::check::state(&state)))),
-            "diff_ms": repeated(|| millis(|| drop(diff::states(&state, &changed)))),
-            "adopt_ms": repeated(|| {
+            "check_ms": measure_repeatedly(|| millis(|| drop(crate::config::check::state(&state)))),
+            "diff_ms": measure_repeatedly(|| millis(|| drop(diff::states(&state, &changed)))),
+            "adopt_ms": measure_repeatedly(|| {
                 let versioned = std::sync::Arc::new(versioned.clone());
                 millis(|| {
-                    let plan = Layout::new(versioned);
+                    let plan = EntryPlan::new(versioned);
                     let mut table = Endpoints::default();
                     table.configure(plan.endpoints());
                     black_box(plan.services());
@@ -305,10 +307,10 @@
 fn bytes_each<T>(count: usize, make: impl FnOnce() -> T) -> f64 {
     let pid = std::process::id();
     let before = resident_bytes(pid);
-    let kept = make();
+    let object = make();
     let after = resident_bytes(pid);
     // Freed memory would be reused by the next measurement, which would then see no increase.
-    std::mem::forget(black_box(kept));
+    std::mem::forget(black_box(object));
     after.saturating_sub(before) as f64 / count as f64
 }
 
@@ -322,7 +324,7 @@
             "count": count,
             "bytes_a_job": bytes_each(count, || {
                 let mut batch = Batch::new(1, SmallRng::seed_from_u64(1));
-                let views = (0..count).map(|at| view(&format!("batch_{at:032}"), 16)).collect();
+                let views = (0..count).map(|at| job_view(&format!("batch_{at:032}"), 16)).collect();
                 batch.handle(Duration::ZERO, Event::Jobs(views), &mut Vec::new());
                 batch
             }),
@@ -333,14 +335,14 @@
                     version: 1, nonce: 1, by: String::new(), at_ms: 0,
                     bodies: Vec::new(), ancestors: Vec::new(),
                 };
-                Layout::new(std::sync::Arc::new(Versioned { head, state }))
+                EntryPlan::new(std::sync::Arc::new(Versioned { head, state }))
             }),
         }));
     }
     json!({ "tables": rows, "bytes_an_item_in_hand": item, "line_bytes": content.len() / 4096 })
 }
 
-fn view(job: &str, chunks: u32) -> JobView {
+fn job_view(job: &str, chunks: u32) -> JobView {
     JobView {
         id: job.into(),
         workspace: "workspace-1".into(),
@@ -357,9 +359,9 @@
     let mut batch = Batch::new(1, SmallRng::seed_from_u64(1));
     let mut now = Duration::from_secs(1);
     let views = (0..jobs)
-        .map(|at| view(&format!("batch_{at:032}"), 4))
+        .map(|at| job_view(&format!("batch_{at:032}"), 4))
         .collect();
-    let crew = BatchPeers {
+    let peers = BatchPeers {
         own: 1,
         own_domain: 1,
         vms: vec![1],
@@ -370,7 +372,7 @@
             domains: vec![1],
         }],
     };
-    let mut pending = vec![Event::Crew(crew), Event::Jobs(views)];
+    let mut pending = vec![Event::Crew(peers), Event::Jobs(views)];
     pending.push(Event::Windows(
         (0..6).map(|at| (at, SERVICE, window)).collect(),
     ));
@@ -471,7 +473,7 @@
     let fleet = Fleet::start("slope-streams", &plan)?;
     let mut rows = Vec::new();
     for callers in [10, 20, 40, 80, 160] {
-        let shots = (0..callers).map(|at| Shot {
+        let requests = (0..callers).map(|at| ScheduledRequest {
             at: Duration::from_millis(at as u64 * 3),
             target: fleet.entries[0].address,
             key: KEYS[0].1.into(),
@@ -480,10 +482,10 @@
             attempt: String::new(),
         });
         let (before_ms, start) = (processor_ms(&fleet), clock::now());
-        let samples = load::run(shots.collect(), callers);
+        let samples = load::run(requests.collect(), callers);
         let took_s = clock::now().saturating_sub(start).as_secs_f64();
         let spent_ms = processor_ms(&fleet) - before_ms;
-        let tokens = samples.iter().filter(|sample| sample.whole).count() as f64 * 200.0;
+        let tokens = samples.iter().filter(|sample| sample.complete).count() as f64 * 200.0;
         rows.push(json!({
             "callers": callers,
             "tokens_per_s": tokens / took_s,
@@ -563,8 +565,8 @@
 }
 
 /// Runs all measurements, prints the figures and writes them to the file.
-pub fn run(matches: &ArgMatches) -> Outcome {
-    let mut beats = Vec::new();
+pub fn run(matches: &ArgMatches) -> BenchResult {
+    let mut heartbeat_rows = Vec::new();
     for (vms, endpoints, domains) in [
         (3, 4, 1),
         (6, 33, 1),
@@ -575,12 +577,12 @@
         (3, 66, 8),
         (12, 66, 29),
     ] {
-        beats.push(heartbeats(vms, endpoints, domains));
+        heartbeat_rows.push(heartbeats(vms, endpoints, domains));
     }
     let report = json!({
         "memory": memory(),
         "routing": routing(),
-        "heartbeats": beats,
+        "heartbeats": heartbeat_rows,
         "configuration": configuration()?,
         "batch": batch(),
         "streams": streams()?,
--- a/src/bench/yielding.rs
+++ b/src/bench/yielding.rs
@@ -9,8 +9,8 @@
 use clap::{Arg, ArgMatches, Command};
 use serde_json::{json, Value};
 
-use super::load::{self, Shot, Times};
-use super::Outcome;
+use super::load::{self, ScheduledRequest, Times};
+use super::BenchResult;
 use crate::clock;
 use crate::engine::ATTEMPT_HEADER;
 use crate::standin::fleet::{chat_lines, Fleet, Plan, KEYS};
@@ -41,7 +41,7 @@
 }
 
 /// A variant of running batch items beside online requests.
-enum Way {
+enum Variant {
     NoBatch,
     /// Directly at the engines, with this number of concurrent items at each.
     Fixed(u32),
@@ -59,14 +59,14 @@
     }
 }
 
-fn wave(targets: &[SocketAddr]) -> Vec<Shot> {
+fn online_bursts(targets: &[SocketAddr]) -> Vec<ScheduledRequest> {
     let burst = PERIOD / 2;
     let count = (burst.as_millis() / BURST_GAP.as_millis()) as u32;
-    let mut shots = Vec::new();
+    let mut requests = Vec::new();
     for period in 0..PERIODS {
         for at in 0..count {
             let number = period * count + at;
-            shots.push(Shot {
+            requests.push(ScheduledRequest {
                 at: PERIOD * period + PERIOD / 2 + BURST_GAP * at,
                 target: targets[number as usize % targets.len()],
                 key: KEYS[0].1.into(),
@@ -76,12 +76,12 @@
             });
         }
     }
-    shots
+    requests
 }
 
 /// Batch items per second on otherwise idle engines with all slots full.
 fn idle_rate(fleet: &Fleet) -> f64 {
-    let done = fixed(fleet, SLOTS, Duration::from_secs(4), || {
+    let done = run_fixed(fleet, SLOTS, Duration::from_secs(4), || {
         clock::sleep(Duration::from_secs(4));
     });
     done as f64 / 4.0
@@ -89,7 +89,7 @@
 
 /// Keeps `window` items running at each engine while `work` runs; returns the number that
 /// completed.
-fn fixed(fleet: &Fleet, window: u32, longest: Duration, work: impl FnOnce()) -> u64 {
+fn run_fixed(fleet: &Fleet, window: u32, longest: Duration, work: impl FnOnce()) -> u64 {
     let stop = Arc::new(AtomicBool::new(false));
     let done = Arc::new(AtomicU64::new(0));
     let until = clock::now() + longest + Duration::from_secs(60);
@@ -133,8 +133,8 @@
     fleet.batches.iter().map(count).sum()
 }
 
-fn one(way: &Way, name: &str) -> Result<Value, Box<dyn std::error::Error>> {
-    let weight = if let Way::Weight(weight) = way {
+fn measure(variant: &Variant, name: &str) -> Result<Value, Box<dyn std::error::Error>> {
+    let weight = if let Variant::Weight(weight) = variant {
         *weight
     } else {
         1.0
@@ -144,14 +144,14 @@
     let idle = idle_rate(&fleet);
     let length = PERIOD * PERIODS;
     let mut samples = Vec::new();
-    let mut run = || samples = load::run(wave(&targets), 128);
-    let done = match way {
-        Way::NoBatch => {
+    let mut run = || samples = load::run(online_bursts(&targets), 128);
+    let done = match variant {
+        Variant::NoBatch => {
             run();
             0
         }
-        Way::Fixed(window) => fixed(&fleet, *window, length, run),
-        Way::Weight(_) => {
+        Variant::Fixed(window) => run_fixed(&fleet, *window, length, run),
+        Variant::Weight(_) => {
             // More jobs than fit into the run, so that the system never runs out of batch items.
             for job in 0..JOBS {
                 // A different number of lines is different content, so each submission is a job of
@@ -166,7 +166,7 @@
     let good = || {
         samples
             .iter()
-            .filter(|sample| sample.status == 200 && sample.whole)
+            .filter(|sample| sample.status == 200 && sample.complete)
     };
     let times = Times::of(good().map(|sample| sample.first_token));
     // Idle engine capacity: all of it in the first half of each period, and in bursts what online
@@ -185,21 +185,21 @@
 }
 
 /// Runs the benchmark.
-pub fn run(matches: &ArgMatches) -> Outcome {
+pub fn run(matches: &ArgMatches) -> BenchResult {
     let weights = matches
         .get_many::<f64>("weights")
         .into_iter()
         .flatten()
         .copied();
-    let mut ways = vec![
-        (Way::NoBatch, "no-batch".to_owned()),
-        (Way::Fixed(SLOTS), format!("fixed-{SLOTS}")),
-        (Way::Fixed(SLOTS / 2), format!("fixed-{}", SLOTS / 2)),
+    let mut variants = vec![
+        (Variant::NoBatch, "no-batch".to_owned()),
+        (Variant::Fixed(SLOTS), format!("fixed-{SLOTS}")),
+        (Variant::Fixed(SLOTS / 2), format!("fixed-{}", SLOTS / 2)),
     ];
-    ways.extend(weights.map(|weight| (Way::Weight(weight), format!("weight-{weight}"))));
+    variants.extend(weights.map(|weight| (Variant::Weight(weight), format!("weight-{weight}"))));
     let mut rows = Vec::new();
-    for (way, name) in &ways {
-        let row = one(way, name)?;
+    for (variant, name) in &variants {
+        let row = measure(variant, name)?;
         eprintln!("{row}");
         rows.push(row);
     }
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -12,9 +12,9 @@
 use rand::SeedableRng;
 use serde::Serialize;
 
-use self::talk::Beat;
-use super::engine::{Engine, Part, RunId, Seen, Sent, Spec, Work};
-use super::load::{Arrival, Load, What, CALLERS};
+use self::talk::Heartbeat;
+use super::engine::{Engine, EngineRequest, EngineSpec, PromptPart, RunEvent, RunId, TimedEvent};
+use super::load::{Arrival, ArrivalKind, Load, CALLERS};
 use super::outcome::Outcome;
 use crate::decide::endpoints::Endpoints;
 use crate::decide::items::{ItemKey, Items};
@@ -27,25 +27,27 @@
 const SERVICE: u64 = 1;
 const WORKSPACE: u64 = 0;
 /// Length of one simulation step.
-const TURN: Duration = Duration::from_millis(1);
+const STEP: Duration = Duration::from_millis(1);
 /// Time after the last arrival in which the simulation goes on, so that jobs can finish.
-const AFTER: Duration = Duration::from_secs(18);
-const TICK_MS: u64 = 25;
-const PLAN_MS: u64 = 50;
+const COMPLETION_TIME: Duration = Duration::from_secs(18);
+const TICK_INTERVAL_MS: u64 = 25;
+const PLAN_INTERVAL_MS: u64 = 50;
 /// A refused caller retries after at most this part of the time left to its deadline.
-const RETRY_PART: f64 = 1.0 / 3.0;
+const RETRY_SHARE: f64 = 1.0 / 3.0;
 
 /// The machines of a simulation, and how the VMs cooperate.
 #[derive(Debug, Clone, Serialize)]
-pub struct Plan {
+pub struct FleetSpec {
     pub domains: u64,
     pub vms: u64,
     pub engines: usize,
-    pub engine: Spec,
+    pub engine: EngineSpec,
     /// Interval of heartbeats within the local failure domain while counts change.
-    pub near: Duration,
+    #[serde(rename = "near")]
+    pub local_interval: Duration,
     /// Interval of heartbeats to the other failure domains.
-    pub far: Duration,
+    #[serde(rename = "far")]
+    pub remote_interval: Duration,
     /// Time from sending a heartbeat until the receiver has applied it.
     pub delay: Duration,
     /// Share of the heartbeats that are lost.
@@ -53,7 +55,8 @@
     #[serde(skip)]
     pub policy: Policy,
     /// Whether VMs share free slots by slot grants.
-    pub turns: bool,
+    #[serde(rename = "turns")]
+    pub slot_grants: bool,
 }
 
 struct Vm {
@@ -65,91 +68,91 @@
     /// Items that wait at the other VMs, as last reported.
     waiting: HashMap<VmId, (DomainId, u32)>,
     changed: bool,
-    near_at: Duration,
-    far_at: Duration,
+    local_heartbeat_at: Duration,
+    remote_heartbeat_at: Duration,
     plan_now: bool,
 }
 
-struct Asked {
+struct OnlineRequest {
     arrived_at: Duration,
     /// Time at which the request arrived first; deadline and time to first token count from it.
     first_at: Duration,
-    prompt: Vec<Part>,
+    prompt: Vec<PromptPart>,
     tokens: u32,
     run: Option<(RunId, EndpointId)>,
-    again: bool,
+    retried: bool,
     in_time: bool,
 }
 
 struct Item {
     due: Duration,
     tokens: u32,
-    made: u32,
+    generated: u32,
     /// Tokens generated before the current run.
-    made_before: u32,
+    generated_before: u32,
     run: Option<(RunId, EndpointId)>,
 }
 
-enum Of {
+enum RunKind {
     Online(RequestId),
     Item(ItemKey),
 }
 
 struct Run {
     vm: usize,
-    of: Of,
+    kind: RunKind,
 }
 
 /// The state of one simulation.
 pub struct Fleet<'a> {
-    plan: &'a Plan,
+    spec: &'a FleetSpec,
     load: &'a Load,
     now: Duration,
     vms: Vec<Vm>,
     engines: HashMap<EndpointId, Engine>,
-    order: Vec<EndpointId>,
+    endpoint_order: Vec<EndpointId>,
     runs: HashMap<RunId, Run>,
-    asked: HashMap<RequestId, Asked>,
+    online_requests: HashMap<RequestId, OnlineRequest>,
     items: HashMap<ItemKey, Item>,
-    beats: Vec<(Duration, usize, Rc<Beat>)>,
+    heartbeats: Vec<(Duration, usize, Rc<Heartbeat>)>,
     /// Refused callers that will retry: time, VM and request.
-    returning: Vec<(Duration, usize, RequestId)>,
+    retries: Vec<(Duration, usize, RequestId)>,
     rng: SmallRng,
     last_id: u64,
-    seen: Outcome,
+    outcome: Outcome,
 }
 
 /// Simulates a load, with all random choices drawn from a seed.
-pub fn play(plan: &Plan, load: &Load, seed: u64) -> Outcome {
-    let mut fleet = Fleet::new(plan, load, seed);
+pub fn simulate(spec: &FleetSpec, load: &Load, seed: u64) -> Outcome {
+    let mut fleet = Fleet::new(spec, load, seed);
     let arrivals = load.draw(seed);
     let mut next = arrivals.iter().peekable();
-    while fleet.now < load.length + AFTER {
-        fleet.now += TURN;
+    while fleet.now < load.length + COMPLETION_TIME {
+        fleet.now += STEP;
         while let Some(arrival) = next.next_if(|arrival| arrival.at <= fleet.now) {
-            fleet.arrived(arrival);
+            fleet.apply_arrival(arrival);
         }
-        fleet.turn();
+        fleet.step();
         if fleet.now == load.length {
-            fleet.note_use();
+            fleet.record_slot_use();
         }
     }
     fleet.finish()
 }
 
 impl<'a> Fleet<'a> {
-    fn new(plan: &'a Plan, load: &'a Load, seed: u64) -> Fleet<'a> {
+    fn new(spec: &'a FleetSpec, load: &'a Load, seed: u64) -> Fleet<'a> {
         let mut endpoints = Endpoints::default();
-        let slots = plan.engine.slots as f64;
-        let domain = |at: usize| at as u64 % plan.domains;
-        endpoints.configure(declared(plan.engines, SERVICE, slots, domain));
+        let slots = spec.engine.slots as f64;
+        let domain = |at: usize| at as u64 % spec.domains;
+        endpoints.configure(declared(spec.engines, SERVICE, slots, domain));
         let order: Vec<EndpointId> = endpoints.rows.iter().map(|row| row.id).collect();
-        let engine = |id: &EndpointId| (*id, Engine::new(plan.engine.clone()));
+        let engine = |id: &EndpointId| (*id, Engine::new(spec.engine.clone()));
         let vm = |at: u64| {
-            let domain = at % plan.domains;
+            let domain = at % spec.domains;
             let mut online = Online::new(domain, SmallRng::seed_from_u64(seed ^ (at + 1)));
             online.endpoints = endpoints.clone();
-            online.policy = plan.policy;
+            online.policy = spec.policy;
             online.services = HashMap::from([(SERVICE, service(load))]);
             Vm {
                 id: id::of(&format!("vm-{at}")),
@@ -159,49 +162,49 @@
                 usage: Usage::default(),
                 waiting: HashMap::new(),
                 changed: false,
-                near_at: Duration::ZERO,
-                far_at: Duration::ZERO,
+                local_heartbeat_at: Duration::ZERO,
+                remote_heartbeat_at: Duration::ZERO,
                 plan_now: false,
             }
         };
         Fleet {
-            plan,
+            spec,
             load,
             now: Duration::ZERO,
-            vms: (0..plan.vms).map(vm).collect(),
+            vms: (0..spec.vms).map(vm).collect(),
             engines: order.iter().map(engine).collect(),
-            order,
+            endpoint_order: order,
             runs: HashMap::new(),
-            asked: HashMap::new(),
+            online_requests: HashMap::new(),
             items: HashMap::new(),
-            beats: Vec::new(),
-            returning: Vec::new(),
+            heartbeats: Vec::new(),
+            retries: Vec::new(),
             rng: SmallRng::seed_from_u64(seed),
             last_id: 0,
-            seen: Outcome::default(),
+            outcome: Outcome::default(),
         }
     }
 
-    fn turn(&mut self) {
-        self.engines_turn();
-        self.hear();
-        self.return_callers();
+    fn step(&mut self) {
+        self.advance_engines();
+        self.deliver_heartbeats();
+        self.retry_callers();
         let millis = self.now.as_millis() as u64;
         for at in 0..self.vms.len() {
             // Offsets the ticks, so that VMs do not all act at the same moment.
             let offset = at as u64 * 7;
-            if (millis + offset).is_multiple_of(TICK_MS) {
+            if (millis + offset).is_multiple_of(TICK_INTERVAL_MS) {
                 let mut out = Vec::new();
                 let vm = &mut self.vms[at];
                 vm.usage.tick(self.now);
-                note_uses(vm, self.now);
+                update_uses(vm, self.now);
                 vm.online.tick(self.now, &mut out);
-                self.act(at, out);
+                self.apply_actions(at, out);
             }
-            if self.vms[at].plan_now || (millis + offset).is_multiple_of(PLAN_MS) {
+            if self.vms[at].plan_now || (millis + offset).is_multiple_of(PLAN_INTERVAL_MS) {
                 self.plan_items(at);
             }
-            self.tell(at);
+            self.send_heartbeats(at);
         }
     }
 
@@ -212,35 +215,35 @@
 
     /// The VM of a caller: always the same one, so that some VMs have more callers than others.
     fn vm_of(&self, caller: u64) -> usize {
-        let caller = caller % (CALLERS * self.plan.domains);
-        let domain = caller % self.plan.domains;
-        let of_domain = self.plan.vms.div_ceil(self.plan.domains);
-        let at = id::weight(caller, 1) % of_domain * self.plan.domains + domain;
-        (at % self.plan.vms) as usize
+        let caller = caller % (CALLERS * self.spec.domains);
+        let domain = caller % self.spec.domains;
+        let of_domain = self.spec.vms.div_ceil(self.spec.domains);
+        let at = id::weight(caller, 1) % of_domain * self.spec.domains + domain;
+        (at % self.spec.vms) as usize
     }
 
-    fn arrived(&mut self, arrival: &Arrival) {
+    fn apply_arrival(&mut self, arrival: &Arrival) {
         let vm = self.vm_of(arrival.caller);
-        match &arrival.what {
-            What::Online { prompt, tokens } => {
-                self.seen.online += 1;
+        match &arrival.kind {
+            ArrivalKind::Online { prompt, tokens } => {
+                self.outcome.online += 1;
                 let request = self.next_id();
-                let asked = Asked {
+                let request_state = OnlineRequest {
                     arrived_at: arrival.at,
                     first_at: arrival.at,
                     prompt: prompt.clone(),
                     tokens: *tokens,
                     run: None,
-                    again: false,
+                    retried: false,
                     in_time: false,
                 };
-                self.asked.insert(request, asked);
-                self.ask(vm, request);
+                self.online_requests.insert(request, request_state);
+                self.submit(vm, request);
             }
-            What::Job { items } => {
+            ArrivalKind::Job { items } => {
                 let job = format!("job-{}", self.next_id());
                 for (at, tokens) in items.iter().enumerate() {
-                    self.seen.items += 1;
+                    self.outcome.items += 1;
                     let key = ItemKey {
                         job: job.as_str().into(),
                         item: at as u32,
@@ -252,8 +255,8 @@
                     let item = Item {
                         due,
                         tokens: *tokens,
-                        made: 0,
-                        made_before: 0,
+                        generated: 0,
+                        generated_before: 0,
                         run: None,
                     };
                     self.items.insert(key, item);
@@ -262,62 +265,62 @@
         }
     }
 
-    fn offer(&mut self, endpoint: EndpointId, work: Work) -> bool {
+    fn offer(&mut self, endpoint: EndpointId, engine_request: EngineRequest) -> bool {
         let now = self.now;
         let engine = self.engines.get_mut(&endpoint);
-        let taken = engine.is_some_and(|engine| engine.offer(now, work));
-        self.seen.refused_by_engines += u64::from(!taken);
-        taken
+        let accepted = engine.is_some_and(|engine| engine.offer(now, engine_request));
+        self.outcome.refused_by_engines += u64::from(!accepted);
+        accepted
     }
 
-    fn engines_turn(&mut self) {
-        let mut sent = Vec::new();
-        for id in &self.order {
+    fn advance_engines(&mut self) {
+        let mut events = Vec::new();
+        for id in &self.endpoint_order {
             if let Some(engine) = self.engines.get_mut(id) {
-                engine.advance(self.now, &mut sent);
+                engine.advance(self.now, &mut events);
             }
         }
-        sent.sort_by_key(|one| one.at);
-        for one in sent {
-            self.heard(one);
+        events.sort_by_key(|event| event.at);
+        for event in events {
+            self.apply_event(event);
         }
     }
 
-    fn heard(&mut self, sent: Sent) {
-        let Some(run) = self.runs.get(&sent.run) else {
+    fn apply_event(&mut self, event: TimedEvent) {
+        let Some(run) = self.runs.get(&event.run) else {
             return;
         };
         let vm = run.vm;
-        match &run.of {
-            Of::Online(request) => {
+        match &run.kind {
+            RunKind::Online(request) => {
                 let request = *request;
-                self.heard_online(vm, request, sent);
+                self.apply_online_event(vm, request, event);
             }
-            Of::Item(key) => {
+            RunKind::Item(key) => {
                 let key = key.clone();
-                self.heard_item(vm, &key, sent);
+                self.apply_item_event(vm, &key, event);
             }
         }
-        if sent.seen == Seen::Ended {
-            self.runs.remove(&sent.run);
+        if event.event == RunEvent::Ended {
+            self.runs.remove(&event.run);
         }
     }
 
-    fn note_use(&mut self) {
+    fn record_slot_use(&mut self) {
         let busy: Duration = self.engines.values().map(|e| e.busy_slots).sum();
-        let slots = (self.plan.engines * self.plan.engine.slots) as f64;
+        let slots = (self.spec.engines * self.spec.engine.slots) as f64;
         let all_s = self.load.length.as_secs_f64() * slots;
-        self.seen.slots_used = busy.as_secs_f64() / all_s;
+        self.outcome.slots_used = busy.as_secs_f64() / all_s;
     }
 
     fn finish(mut self) -> Outcome {
-        self.seen.items_open = self.items.len() as u64;
-        self.seen.finish();
-        self.seen
+        self.outcome.items_open = self.items.len() as u64;
+        self.outcome.finish();
+        self.outcome
     }
 }
 
-fn note_uses(vm: &mut Vm, now: Duration) {
+fn update_uses(vm: &mut Vm, now: Duration) {
     vm.items.note_uses(now, &mut vm.online.endpoints, &vm.usage);
 }
 
--- a/src/model/fleet/batch.rs
+++ b/src/model/fleet/batch.rs
@@ -1,33 +1,35 @@
 //! Batch items of a simulated fleet.
 
-use super::{note_uses, Fleet, Of, Run};
+use super::{update_uses, Fleet, Run, RunKind};
 use crate::decide::items::{self, ItemKey, ItemPlanner};
 use crate::decide::slot_grants::CompetingVm;
 use crate::id::{DomainId, EndpointId, VmId};
-use crate::model::engine::{Part, Seen, Sent, Work};
+use crate::model::engine::{EngineRequest, PromptPart, RunEvent, TimedEvent};
 
 impl Fleet<'_> {
     pub(super) fn plan_items(&mut self, at: usize) {
         let now = self.now;
         let vm = &mut self.vms[at];
         vm.plan_now = false;
-        note_uses(vm, now);
-        let rival = |(vm, (domain, items)): (&VmId, &(DomainId, u32))| CompetingVm {
+        update_uses(vm, now);
+        let competing_vm = |(vm, (domain, items)): (&VmId, &(DomainId, u32))| CompetingVm {
             vm: *vm,
             domain: *domain,
             items: *items,
         };
-        let rivals: Vec<CompetingVm> = match self.plan.turns {
-            true => vm.waiting.iter().map(rival).collect(),
+        let competing_vms: Vec<CompetingVm> = match self.spec.slot_grants {
+            true => vm.waiting.iter().map(competing_vm).collect(),
             false => Vec::new(),
         };
-        let own = ItemPlanner {
+        let planner = ItemPlanner {
             vm: vm.id,
             domain: vm.domain,
-            rivals: &rivals,
+            rivals: &competing_vms,
             starting: true,
         };
-        let actions = vm.items.plan(now, &own, &vm.online.endpoints, &vm.usage);
+        let actions = vm
+            .items
+            .plan(now, &planner, &vm.online.endpoints, &vm.usage);
         vm.changed |= !actions.is_empty();
         for action in actions {
             match action {
@@ -43,30 +45,30 @@
             return;
         };
         item.run = Some((run, endpoint));
-        item.made_before = item.made;
-        let work = Work {
+        item.generated_before = item.generated;
+        let engine_request = EngineRequest {
             run,
-            prompt: vec![Part {
+            prompt: vec![PromptPart {
                 id: run,
                 tokens: self.load.prompt_tokens,
             }],
-            made_before: item.made,
-            tokens_out: item.tokens.saturating_sub(item.made).max(1),
+            generated_before: item.generated,
+            output_tokens: item.tokens.saturating_sub(item.generated).max(1),
         };
-        if self.offer(endpoint, work) {
-            let of = Of::Item(key);
-            self.runs.insert(run, Run { vm, of });
+        if self.offer(endpoint, engine_request) {
+            let kind = RunKind::Item(key);
+            self.runs.insert(run, Run { vm, kind });
         } else {
             self.vms[vm].items.paused(self.now, &key, true);
         }
     }
 
     pub(super) fn stop_item(&mut self, vm: usize, key: &ItemKey) {
-        self.seen.items_stopped += 1;
+        self.outcome.items_stopped += 1;
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
-        self.seen.started_in_vain += u64::from(item.made == item.made_before);
+        self.outcome.started_in_vain += u64::from(item.generated == item.generated_before);
         if let Some((run, endpoint)) = item.run.take() {
             self.runs.remove(&run);
             if let Some(engine) = self.engines.get_mut(&endpoint) {
@@ -76,16 +78,16 @@
         self.vms[vm].items.paused(self.now, key, false);
     }
 
-    pub(super) fn heard_item(&mut self, vm: usize, key: &ItemKey, sent: Sent) {
+    pub(super) fn apply_item_event(&mut self, vm: usize, key: &ItemKey, event: TimedEvent) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
-        match sent.seen {
-            Seen::First => {}
+        match event.event {
+            RunEvent::FirstToken => {}
             // Tokens of complete events are kept when the item is stopped.
-            Seen::Made(_) => item.made += self.plan.engine.stride_tokens,
-            Seen::Ended => {
-                self.seen.items_in_time += u64::from(sent.at <= item.due);
+            RunEvent::Generated(_) => item.generated += self.spec.engine.stride_tokens,
+            RunEvent::Ended => {
+                self.outcome.items_in_time += u64::from(event.at <= item.due);
                 self.items.remove(key);
                 let vm = &mut self.vms[vm];
                 vm.items.completed(self.now, key);
--- a/src/model/fleet/talk.rs
+++ b/src/model/fleet/talk.rs
@@ -10,7 +10,7 @@
 use crate::id::{DomainId, EndpointId, VmId};
 
 /// A heartbeat: the endpoint uses of a VM, and its waiting items.
-pub(super) struct Beat {
+pub(super) struct Heartbeat {
     from: VmId,
     domain: DomainId,
     uses: Vec<(EndpointId, EndpointUse)>,
@@ -19,49 +19,50 @@
 
 impl Fleet<'_> {
     /// Sends the heartbeats of a VM that are due.
-    pub(super) fn tell(&mut self, at: usize) {
-        let (now, plan) = (self.now, self.plan);
+    pub(super) fn send_heartbeats(&mut self, at: usize) {
+        let (now, spec) = (self.now, self.spec);
         let vm = &mut self.vms[at];
-        let near = vm.changed && now >= vm.near_at;
-        let far = now >= vm.far_at;
-        if !near && !far {
+        let local_due = vm.changed && now >= vm.local_heartbeat_at;
+        let remote_due = now >= vm.remote_heartbeat_at;
+        if !local_due && !remote_due {
             return;
         }
-        let beat = Rc::new(beat(vm, now));
+        let heartbeat = Rc::new(heartbeat(vm, now));
         vm.changed = false;
-        vm.near_at = now + plan.near;
-        if far {
-            vm.far_at = now + plan.far;
+        vm.local_heartbeat_at = now + spec.local_interval;
+        if remote_due {
+            vm.remote_heartbeat_at = now + spec.remote_interval;
         }
         let domain = vm.domain;
         for to in 0..self.vms.len() {
-            let heard = to != at && (far || self.vms[to].domain == domain);
-            if heard && self.rng.random::<f64>() >= plan.loss {
-                self.beats.push((now + plan.delay, to, beat.clone()));
+            let is_target = to != at && (remote_due || self.vms[to].domain == domain);
+            if is_target && self.rng.random::<f64>() >= spec.loss {
+                self.heartbeats
+                    .push((now + spec.delay, to, heartbeat.clone()));
             }
         }
     }
 
-    pub(super) fn hear(&mut self) {
+    pub(super) fn deliver_heartbeats(&mut self) {
         let now = self.now;
-        let due = |(at, ..): &mut (Duration, usize, Rc<Beat>)| *at <= now;
-        let due: Vec<_> = self.beats.extract_if(.., due).collect();
-        for (_, to, beat) in due {
+        let due = |(at, ..): &mut (Duration, usize, Rc<Heartbeat>)| *at <= now;
+        let due: Vec<_> = self.heartbeats.extract_if(.., due).collect();
+        for (_, to, heartbeat) in due {
             let vm = &mut self.vms[to];
-            let touched = vm
-                .usage
-                .apply_report(now, beat.from, beat.uses.iter().cloned());
+            let touched =
+                vm.usage
+                    .apply_report(now, heartbeat.from, heartbeat.uses.iter().cloned());
             let endpoints = &mut vm.online.endpoints;
             vm.plan_now |= vm.items.note_uses_at(now, endpoints, &vm.usage, &touched);
-            match beat.waiting {
-                0 => vm.waiting.remove(&beat.from),
-                items => vm.waiting.insert(beat.from, (beat.domain, items)),
+            match heartbeat.waiting {
+                0 => vm.waiting.remove(&heartbeat.from),
+                items => vm.waiting.insert(heartbeat.from, (heartbeat.domain, items)),
             };
         }
     }
 }
 
-fn beat(vm: &Vm, now: Duration) -> Beat {
+fn heartbeat(vm: &Vm, now: Duration) -> Heartbeat {
     let placed = vm.items.placed(now);
     let rows = vm.online.endpoints.rows.iter().map(|row| {
         let here = placed.get(&row.id).copied().unwrap_or_default();
@@ -72,11 +73,11 @@
         };
         (row.id, uses)
     });
-    Beat {
+    Heartbeat {
         from: vm.id,
         domain: vm.domain,
         uses: rows
-            .filter(|(_, one)| *one != EndpointUse::default())
+            .filter(|(_, uses)| *uses != EndpointUse::default())
             .collect(),
         waiting: vm.items.waiting() as u32,
     }
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use serde::Serialize;
 
-use super::engine::Part;
+use super::engine::PromptPart;
 
 /// Rates and sizes of a deployment's load.
 #[derive(Debug, Clone, Serialize)]
@@ -37,20 +37,18 @@
     pub at: Duration,
     /// The caller; each caller always connects to the same VM.
     pub caller: u64,
-    pub what: What,
+    pub kind: ArrivalKind,
 }
 
 /// Content of an arrival.
 #[derive(Debug, Clone)]
-pub enum What {
+pub enum ArrivalKind {
     Online {
-        prompt: Vec<Part>,
+        prompt: Vec<PromptPart>,
         tokens: u32,
     },
     /// Number of tokens of each item.
-    Job {
-        items: Vec<u32>,
-    },
+    Job { items: Vec<u32> },
 }
 
 /// Callers of one failure domain; each connects to one VM.
@@ -67,56 +65,62 @@
     }
 
     fn online(&self, rng: &mut SmallRng) -> Vec<Arrival> {
-        let mut found = Vec::new();
+        let mut arrivals = Vec::new();
         let mut at = Duration::ZERO;
-        let highest = self.steps.iter().map(|(_, part)| *part).fold(0.0, f64::max);
+        let highest = self
+            .steps
+            .iter()
+            .map(|(_, factor)| *factor)
+            .fold(0.0, f64::max);
         while at < self.length {
-            at += pause(rng, self.online_per_s * highest);
-            if rng.random_range(0.0..highest) > self.part_at(at) {
+            at += interarrival_time(rng, self.online_per_s * highest);
+            if rng.random_range(0.0..highest) > self.rate_factor_at(at) {
                 continue;
             }
-            let own = Part {
+            let unique = PromptPart {
                 id: rng.random(),
                 tokens: self.prompt_tokens,
             };
-            let shared = Part {
+            let shared = PromptPart {
                 id: rng.random_range(0..self.subjects),
                 tokens: self.shared_tokens,
             };
-            found.push(Arrival {
+            arrivals.push(Arrival {
                 at,
                 caller: rng.random_range(0..CALLERS * 100),
-                what: What::Online {
-                    prompt: vec![shared, own],
-                    tokens: about(rng, self.online_tokens),
+                kind: ArrivalKind::Online {
+                    prompt: vec![shared, unique],
+                    tokens: draw_size(rng, self.online_tokens),
                 },
             });
         }
-        found
+        arrivals
     }
 
     fn jobs(&self, rng: &mut SmallRng) -> Vec<Arrival> {
-        let mut found = Vec::new();
+        let mut arrivals = Vec::new();
         let mut at = Duration::ZERO;
         while self.jobs_per_s > 0.0 && at < self.length {
-            at += pause(rng, self.jobs_per_s);
-            let count = about(rng, self.items);
-            let items = (0..count).map(|_| about(rng, self.item_tokens)).collect();
-            found.push(Arrival {
+            at += interarrival_time(rng, self.jobs_per_s);
+            let count = draw_size(rng, self.items);
+            let items = (0..count)
+                .map(|_| draw_size(rng, self.item_tokens))
+                .collect();
+            arrivals.push(Arrival {
                 at,
                 caller: rng.random_range(0..CALLERS * 100),
-                what: What::Job { items },
+                kind: ArrivalKind::Job { items },
             });
         }
-        found
+        arrivals
     }
 
-    fn part_at(&self, at: Duration) -> f64 {
-        let turn: Duration = self.steps.iter().map(|(length, _)| *length).sum();
-        let mut left = Duration::from_secs_f64(at.as_secs_f64() % turn.as_secs_f64());
-        for (length, part) in &self.steps {
+    fn rate_factor_at(&self, at: Duration) -> f64 {
+        let cycle: Duration = self.steps.iter().map(|(length, _)| *length).sum();
+        let mut left = Duration::from_secs_f64(at.as_secs_f64() % cycle.as_secs_f64());
+        for (length, factor) in &self.steps {
             if left < *length {
-                return *part;
+                return *factor;
             }
             left -= *length;
         }
@@ -125,12 +129,12 @@
 }
 
 /// Time to the next arrival of a Poisson process with the given rate.
-fn pause(rng: &mut SmallRng, per_s: f64) -> Duration {
+fn interarrival_time(rng: &mut SmallRng, per_s: f64) -> Duration {
     let draw: f64 = rng.random_range(f64::EPSILON..1.0);
     Duration::from_secs_f64(-draw.ln() / per_s)
 }
 
 /// A size drawn uniformly from 60 % to 140 % of the mean.
-fn about(rng: &mut SmallRng, mean: f64) -> u32 {
+fn draw_size(rng: &mut SmallRng, mean: f64) -> u32 {
     (mean * rng.random_range(0.6..1.4)).round().max(1.0) as u32
 }
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -25,16 +25,16 @@
     /// Share of all slots in use while callers arrived.
     pub slots_used: f64,
     #[serde(skip)]
-    pub firsts: Vec<Duration>,
+    pub first_token_times: Vec<Duration>,
 }
 
 impl Outcome {
     /// Computes the quantiles once all times are recorded.
     pub fn finish(&mut self) {
-        self.firsts.sort_unstable();
-        let quantile = |part: f64| {
-            let at = (self.firsts.len() as f64 * part) as usize;
-            let time = self.firsts.get(at).copied().unwrap_or_default();
+        self.first_token_times.sort_unstable();
+        let quantile = |share: f64| {
+            let at = (self.first_token_times.len() as f64 * share) as usize;
+            let time = self.first_token_times.get(at).copied().unwrap_or_default();
             time.as_secs_f64() * 1000.0
         };
         self.first_p50_ms = quantile(0.50);
--- a/tests/played_load.rs
+++ b/tests/played_load.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use bramleyseam::bench::play::{large, quarter};
-use bramleyseam::model::engine::{Engine, Part, Seen, Sent, Spec, Work};
-use bramleyseam::model::fleet::{play, Plan};
+use bramleyseam::bench::play::{large_fleet, quarter_fleet};
+use bramleyseam::model::engine::{
+    Engine, EngineRequest, EngineSpec, PromptPart, RunEvent, TimedEvent,
+};
+use bramleyseam::model::fleet::{simulate, FleetSpec};
 use bramleyseam::model::load::Load;
 use bramleyseam::model::outcome::Outcome;
 
@@ -12,14 +14,14 @@
     Duration::from_millis(count)
 }
 
-fn played(change: impl Fn(&mut Plan, &mut Load)) -> Vec<Outcome> {
-    let (mut plan, mut load) = quarter();
-    change(&mut plan, &mut load);
-    (0..3).map(|seed| play(&plan, &load, seed)).collect()
+fn simulate_seeds(change: impl Fn(&mut FleetSpec, &mut Load)) -> Vec<Outcome> {
+    let (mut fleet, mut load) = quarter_fleet();
+    change(&mut fleet, &mut load);
+    (0..3).map(|seed| simulate(&fleet, &load, seed)).collect()
 }
 
-fn sum(played: &[Outcome], of: impl Fn(&Outcome) -> f64) -> f64 {
-    played.iter().map(of).sum()
+fn sum(outcomes: &[Outcome], of: impl Fn(&Outcome) -> f64) -> f64 {
+    outcomes.iter().map(of).sum()
 }
 
 // With heartbeats only every 500 ms, requests wait at full engines while others have free slots,
@@ -27,8 +29,8 @@
 // answers begin in time.
 #[test]
 fn counts_told() {
-    let seldom = played(|plan, _| plan.near = ms(500));
-    let often = played(|_, _| ());
+    let seldom = simulate_seeds(|fleet, _| fleet.local_interval = ms(500));
+    let often = simulate_seeds(|_, _| ());
     let shares = (
         sum(&seldom, Outcome::online_share),
         sum(&often, Outcome::online_share),
@@ -41,23 +43,23 @@
 // burst after they have generated tokens count as stopped only, not as started in vain.
 #[test]
 fn turns_taken() {
-    let rush = played(|plan, _| plan.turns = false);
-    let turns = played(|_, _| ());
-    let stops = |played: &[Outcome]| sum(played, |one| one.items_stopped as f64);
-    let in_vain = |played: &[Outcome]| sum(played, |one| one.started_in_vain as f64);
+    let without_grants = simulate_seeds(|fleet, _| fleet.slot_grants = false);
+    let with_grants = simulate_seeds(|_, _| ());
+    let stops = |outcomes: &[Outcome]| sum(outcomes, |one| one.items_stopped as f64);
+    let in_vain = |outcomes: &[Outcome]| sum(outcomes, |one| one.started_in_vain as f64);
     assert!(
-        in_vain(&turns) * 3.0 < in_vain(&rush),
+        in_vain(&with_grants) * 3.0 < in_vain(&without_grants),
         "{} {}",
-        in_vain(&turns),
-        in_vain(&rush)
+        in_vain(&with_grants),
+        in_vain(&without_grants)
     );
-    assert!(stops(&turns) < stops(&rush));
-    let done = |played: &[Outcome]| sum(played, Outcome::items_share);
+    assert!(stops(&with_grants) < stops(&without_grants));
+    let done = |outcomes: &[Outcome]| sum(outcomes, Outcome::items_share);
     assert!(
-        done(&turns) > done(&rush) * 0.97,
+        done(&with_grants) > done(&without_grants) * 0.97,
         "{} {}",
-        done(&turns),
-        done(&rush)
+        done(&with_grants),
+        done(&without_grants)
     );
 }
 
@@ -65,11 +67,11 @@
 // loses none.
 #[test]
 fn light_load() {
-    let played = played(|_, load| {
+    let outcomes = simulate_seeds(|_, load| {
         load.online_per_s /= 2.0;
         load.jobs_per_s /= 2.0;
     });
-    for one in played {
+    for one in outcomes {
         assert!(one.online_share() > 0.99);
         assert_eq!((one.items_open, one.items_in_time), (0, one.items));
     }
@@ -77,42 +79,42 @@
 
 #[test]
 fn same_seed_same_play() {
-    let (plan, load) = quarter();
-    let one = |seed| serde_json::to_string(&play(&plan, &load, seed)).unwrap();
+    let (fleet, load) = quarter_fleet();
+    let one = |seed| serde_json::to_string(&simulate(&fleet, &load, seed)).unwrap();
     assert_eq!(one(5), one(5));
     assert_ne!(one(5), one(6));
 }
 
-fn spec() -> Spec {
-    Spec {
+fn engine_spec() -> EngineSpec {
+    EngineSpec {
         slots: 2,
         queue: 1,
         chunk_tokens: 100,
         memory_tokens: 1000,
-        ..large().0.engine
+        ..large_fleet().0.engine
     }
 }
 
-fn work(run: u64, part: u64, prompt: u32, tokens_out: u32) -> Work {
-    Work {
+fn request(run: u64, part: u64, prompt: u32, tokens_out: u32) -> EngineRequest {
+    EngineRequest {
         run,
-        prompt: vec![Part {
+        prompt: vec![PromptPart {
             id: part,
             tokens: prompt,
         }],
-        made_before: 0,
-        tokens_out,
+        generated_before: 0,
+        output_tokens: tokens_out,
     }
 }
 
-fn advanced(engine: &mut Engine, until: Duration) -> Vec<Sent> {
+fn advanced(engine: &mut Engine, until: Duration) -> Vec<TimedEvent> {
     let mut out = Vec::new();
     engine.advance(until, &mut out);
     out
 }
 
-fn first_of(sent: &[Sent], run: u64) -> Duration {
-    let first = |one: &&Sent| one.run == run && one.seen == Seen::First;
+fn first_of(sent: &[TimedEvent], run: u64) -> Duration {
+    let first = |one: &&TimedEvent| one.run == run && one.event == RunEvent::FirstToken;
     sent.iter().find(first).unwrap().at
 }
 
@@ -120,25 +122,30 @@
 // they wait, and further ones are refused.
 #[test]
 fn engine_admits() {
-    let mut engine = Engine::new(spec());
+    let mut engine = Engine::new(engine_spec());
     for run in 1..=2 {
-        assert!(engine.offer(ms(0), work(run, run, 10, 50)));
+        assert!(engine.offer(ms(0), request(run, run, 10, 50)));
     }
     let mut sent = advanced(&mut engine, ms(1));
-    assert!(engine.offer(ms(1), work(3, 3, 10, 5)));
-    assert!(!engine.offer(ms(1), work(4, 4, 10, 5)));
+    assert!(engine.offer(ms(1), request(3, 3, 10, 5)));
+    assert!(!engine.offer(ms(1), request(4, 4, 10, 5)));
     sent.extend(advanced(&mut engine, ms(1000)));
     assert!(first_of(&sent, 3) > first_of(&sent, 1));
-    assert_eq!(sent.iter().filter(|one| one.seen == Seen::Ended).count(), 3);
+    assert_eq!(
+        sent.iter()
+            .filter(|one| one.event == RunEvent::Ended)
+            .count(),
+        3
+    );
 }
 
 // A cached prompt is not read again, so the first token comes sooner.
 #[test]
 fn engine_keeps_prompts() {
-    let mut engine = Engine::new(spec());
-    engine.offer(ms(0), work(1, 7, 400, 1));
+    let mut engine = Engine::new(engine_spec());
+    engine.offer(ms(0), request(1, 7, 400, 1));
     let cold = first_of(&advanced(&mut engine, ms(500)), 1);
-    engine.offer(ms(500), work(2, 7, 400, 1));
+    engine.offer(ms(500), request(2, 7, 400, 1));
     let warm = first_of(&advanced(&mut engine, ms(900)), 2) - ms(500);
     assert!(warm * 2 < cold, "{warm:?} {cold:?}");
 }
@@ -147,10 +154,15 @@
 // complete.
 #[test]
 fn engine_preempts() {
-    let mut engine = Engine::new(spec());
-    engine.offer(ms(0), work(1, 1, 400, 300));
-    engine.offer(ms(0), work(2, 2, 400, 300));
+    let mut engine = Engine::new(engine_spec());
+    engine.offer(ms(0), request(1, 1, 400, 300));
+    engine.offer(ms(0), request(2, 2, 400, 300));
     let sent = advanced(&mut engine, Duration::from_secs(20));
     assert!(engine.preempted > 0);
-    assert_eq!(sent.iter().filter(|one| one.seen == Seen::Ended).count(), 2);
+    assert_eq!(
+        sent.iter()
+            .filter(|one| one.event == RunEvent::Ended)
+            .count(),
+        2
+    );
 }
