--- a/src/model/fleet/online.rs
+++ b/src/model/fleet/online.rs
@@ -135,7 +135,7 @@
                     let took = event.at.saturating_sub(state.first_at);
                     state.in_time = took <= self.load.goal;
                     self.outcome.online_in_time += u64::from(state.in_time);
-                    self.outcome.first_token_times.push(took);
+                    self.outcome.firsts.push(took);
                 }
                 self.handle(vm, Event::FirstToken { request });
             }
--- a/src/model/outcome.rs
+++ b/src/model/outcome.rs
@@ -24,17 +24,18 @@
     pub refused_by_engines: u64,
     /// Share of all slots in use while callers arrived.
     pub slots_used: f64,
+    /// Times to first token of all answered requests.
     #[serde(skip)]
-    pub first_token_times: Vec<Duration>,
+    pub firsts: Vec<Duration>,
 }
 
 impl Outcome {
     /// Computes the quantiles once all times are recorded.
     pub fn finish(&mut self) {
-        self.first_token_times.sort_unstable();
+        self.firsts.sort_unstable();
         let quantile = |share: f64| {
-            let at = (self.first_token_times.len() as f64 * share) as usize;
-            let time = self.first_token_times.get(at).copied().unwrap_or_default();
+            let at = (self.firsts.len() as f64 * share) as usize;
+            let time = self.firsts.get(at).copied().unwrap_or_default();
             time.as_secs_f64() * 1000.0
         };
         self.first_p50_ms = quantile(0.50);
