--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers asked and saw, and what was done to the fleet meanwhile.
+//! Records of what callers sent and received, and of the faults injected meanwhile.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,19 +11,19 @@
 
 use super::plan::Fault;
 
-/// One online request.
-pub struct Asked {
+/// One online request with its answer.
+pub struct OnlineRequest {
     pub id: String,
-    /// May run twice, and be resumed.
+    /// Whether the request may run twice and be resumed.
     pub repeatable: bool,
     pub vm: usize,
     pub sent_at: Duration,
     pub ended_at: Duration,
     /// `None` when no answer came.
-    pub seen: Option<Seen>,
+    pub answer: Option<Seen>,
 }
 
-/// A result as it was read first.
+/// A result of a job as it was read first.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Result {
     pub item: String,
@@ -31,77 +31,77 @@
     pub text: String,
 }
 
-/// One job.
+/// One submitted job.
 #[derive(Debug, Default)]
 pub struct Job {
     pub items: usize,
     pub accepted_at: Option<Duration>,
-    /// Every try was answered with a refusal that promises that nothing runs.
+    /// Every attempt was refused with a status that promises that nothing runs.
     pub refused: bool,
-    /// Its caller ended it; when that was answered.
-    pub ended_at: Option<Duration>,
+    /// When the caller's cancellation was confirmed.
+    pub cancelled_at: Option<Duration>,
     pub results: Vec<Result>,
 }
 
-/// What was done to the fleet.
+/// An injected fault and when it was active.
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct InjectedFault {
     pub fault: Fault,
     pub target: usize,
     pub from: Duration,
     pub until: Duration,
 }
 
-/// Everything that the checks need.
+/// All records that the checks need.
 pub struct Ledger {
     pub started: Duration,
     pub vms: Vec<SocketAddr>,
-    pub asked: Mutex<Vec<Asked>>,
+    pub requests: Mutex<Vec<OnlineRequest>>,
     pub jobs: Mutex<HashMap<String, Job>>,
-    pub done: Mutex<Vec<Done>>,
-    broken: Mutex<Vec<String>>,
+    pub faults: Mutex<Vec<InjectedFault>>,
+    violations: Mutex<Vec<String>>,
 }
 
 impl Ledger {
-    /// Nothing seen yet.
+    /// Creates an empty ledger.
     pub fn new(fleet: &Fleet, started: Duration) -> Ledger {
         Ledger {
             started,
             vms: fleet.vms.iter().map(|vm| vm.callers).collect(),
-            asked: Mutex::default(),
+            requests: Mutex::default(),
             jobs: Mutex::default(),
-            done: Mutex::default(),
-            broken: Mutex::default(),
+            faults: Mutex::default(),
+            violations: Mutex::default(),
         }
     }
 
-    /// Notes something that must not be.
-    pub fn broken(&self, at: Duration, what: String) {
+    /// Records a violation.
+    pub fn record_violation(&self, at: Duration, what: String) {
         let since = at.saturating_sub(self.started).as_secs_f64();
-        lock(&self.broken).push(format!("{since:.3} s: {what}"));
+        lock(&self.violations).push(format!("{since:.3} s: {what}"));
     }
 
-    /// All that must not be.
-    pub fn all_broken(&self) -> Vec<String> {
-        lock(&self.broken).clone()
+    /// All violations so far.
+    pub fn all_violations(&self) -> Vec<String> {
+        lock(&self.violations).clone()
     }
 
-    /// Requests, and jobs that were accepted.
+    /// Numbers of requests and of accepted jobs.
     pub fn counts(&self) -> (usize, usize) {
         let jobs = lock(&self.jobs);
         let accepted = jobs.values().filter(|job| job.accepted_at.is_some());
-        (lock(&self.asked).len(), accepted.count())
+        (lock(&self.requests).len(), accepted.count())
     }
 
-    /// Whether something was done between the two moments that `matters`.
-    pub fn disturbed(
+    /// Whether a fault that `matters` was active at any time in the interval.
+    pub fn had_fault(
         &self,
         from: Duration,
         until: Duration,
-        matters: impl Fn(&Done) -> bool,
+        matters: impl Fn(&InjectedFault) -> bool,
     ) -> bool {
-        let done = lock(&self.done);
-        let during = |done: &&Done| done.from <= until && done.until >= from;
-        done.iter().filter(during).any(matters)
+        let faults = lock(&self.faults);
+        let during = |fault: &&InjectedFault| fault.from <= until && fault.until >= from;
+        faults.iter().filter(during).any(matters)
     }
 }
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,5 +1,5 @@
-//! Runs the real program as separate processes on loopback, disturbs them from outside, and checks what
-//! callers and endpoints see while it goes on.
+//! Runs the real program as separate processes on loopback, injects faults from outside, and checks
+//! what callers and endpoints observe meanwhile.
 
 pub mod callers;
 pub mod checks;
@@ -16,24 +16,24 @@
 use bramleyseam_platform_standin::fleet::Fleet;
 
 use self::callers::Callers;
-use self::faults::Disturber;
+use self::faults::FaultInjector;
 use self::ledger::Ledger;
 use self::plan::{Size, Step};
 
-/// What one seed showed.
+/// Result of one seed.
 pub struct Report {
     pub seed: u64,
     pub steps: Vec<Step>,
-    /// What did not hold; empty when all did.
+    /// Violations; empty when all invariants held.
     pub broken: Vec<String>,
-    /// Requests asked, and jobs that were accepted.
+    /// Number of online requests. `jobs` counts accepted jobs.
     pub asked: usize,
     pub jobs: usize,
-    /// Settings and logs, kept when something did not hold.
+    /// Folder with settings and logs, kept when there are violations.
     pub folder: PathBuf,
 }
 
-/// Plays one seed.
+/// Runs one seed.
 pub fn run(program: &str, seed: u64, size: &Size) -> io::Result<Report> {
     let mut fleet = Fleet::start_linked(program, size.vms, size.endpoints)?;
     for endpoint in &fleet.endpoints {
@@ -48,15 +48,15 @@
     let ledger = Ledger::new(&fleet, clock::now());
     let stopping = AtomicBool::new(false);
     let callers = Callers::new(&fleet, &ledger, seed);
-    let mut disturber = Disturber::new(program, &mut fleet, &ledger);
+    let mut injector = FaultInjector::new(program, &mut fleet, &ledger);
     thread::scope(|scope| {
         callers.spawn(scope, &stopping);
-        disturber.play(&steps, size.length);
-        disturber.calm();
+        injector.run(&steps, size.length);
+        injector.restore();
         stopping.store(true, Ordering::SeqCst);
     });
-    let mut broken = checks::at_the_end(&fleet, &ledger);
-    broken.extend(end_well(&mut fleet));
+    let mut broken = checks::check_all(&fleet, &ledger);
+    broken.extend(stop_all(&mut fleet));
     fleet.keep_logs = !broken.is_empty();
     let (asked, jobs) = ledger.counts();
     Ok(Report {
@@ -69,14 +69,14 @@
     })
 }
 
-/// Every process ends by itself, and well, when it is told to.
-fn end_well(fleet: &mut Fleet) -> Vec<String> {
+/// Sends each process the stop signal and checks that it ends by itself without an error.
+fn stop_all(fleet: &mut Fleet) -> Vec<String> {
     fleet
         .vms
         .iter()
         .for_each(|vm| vm.signal(rustix::process::Signal::TERM));
     let ended = |vm: &mut bramleyseam_platform_standin::fleet::Vm| {
-        let ended = vm.wait_end(faults::STOP_MAX);
+        let ended = vm.wait_end(faults::STOP_TIMEOUT);
         (ended != Some(true)).then(|| format!("{} did not end well: {ended:?}", vm.name))
     };
     fleet.vms.iter_mut().filter_map(ended).collect()
