--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,6 +1,6 @@
 //! The only place that reads the machine's clocks or sleeps.
 //!
-//! Functions that decide take the present time as an argument; the shells around them get it here.
+//! Decision functions take the current time as an argument; the code around them reads it here.
 #![allow(clippy::disallowed_methods)]
 
 use std::sync::OnceLock;
@@ -8,7 +8,7 @@
 
 static ORIGIN: OnceLock<Instant> = OnceLock::new();
 
-/// Monotonic time since this process first asked.
+/// Monotonic time since the first call in this process.
 pub fn now() -> Duration {
     ORIGIN.get_or_init(Instant::now).elapsed()
 }
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -1,4 +1,4 @@
-//! Client of endpoints: model engines and plain services.
+//! HTTP client for endpoints: model engines and plain services.
 
 use std::io::{BufRead, BufReader, Read};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::decide::retry::AttemptStage;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// A stream that brings nothing for so long is broken.
+/// Longest time without a byte on a stream; also the write timeout of all connections.
 const STREAM_IDLE: Duration = Duration::from_secs(5);
 const CALL_READ: Duration = Duration::from_secs(600);
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
@@ -18,14 +18,14 @@
 const IDLE_ALL: usize = 512;
 const EVENT_BYTES: usize = 1024 * 1024;
 const ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// Header with the id of a try; engines echo it.
+/// Header with the id of an attempt; engines echo it.
 pub const ATTEMPT_HEADER: &str = "X-Attempt-Id";
 
-/// Why a try failed.
+/// Why an attempt failed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Fault {
     pub reach: AttemptStage,
-    /// The endpoint is to blame.
+    /// Whether the failure counts against the endpoint.
     pub blame: bool,
     /// The connection broke after the request was sent.
     pub died: bool,
@@ -43,7 +43,7 @@
     }
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone)]
 pub struct Answer {
     pub status: u16,
@@ -59,20 +59,20 @@
     pub path: &'a str,
     pub content_type: &'a str,
     pub attempt: &'a str,
-    /// The caller's key, passed on to plain services.
+    /// The caller's `Idempotency-Key`, forwarded to plain services.
     pub key: Option<&'a str>,
     pub body: &'a [u8],
     pub timeout: Duration,
 }
 
-/// Connections to endpoints.
+/// Connection pools for endpoints.
 #[derive(Clone)]
 pub struct Engines {
     streams: ureq::Agent,
     calls: ureq::Agent,
-    /// Never uses a connection twice. A pooled connection that the endpoint has closed shows only
-    /// when the request fails on it; the library then sends some requests once more by itself,
-    /// which for a request that may run at most once is one time too many.
+    /// Never reuses a connection. A pooled connection that the endpoint has closed is only noticed
+    /// when a request fails on it; ureq then retries some requests by itself, which a request that
+    /// may run at most once does not allow.
     single: ureq::Agent,
     control: ureq::Agent,
 }
@@ -95,7 +95,7 @@
 }
 
 impl Engines {
-    /// Opens no connection yet.
+    /// Creates the connection pools; opens no connection yet.
     pub fn new() -> Engines {
         Engines {
             streams: agent(STREAM_IDLE, IDLE_PER_HOST),
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete response.
     pub fn call(&self, call: Call<'_>, idempotent: bool) -> Result<Answer, Fault> {
         let agent = if idempotent {
             &self.calls
@@ -155,13 +155,13 @@
         })
     }
 
-    /// Sends a request whose answer comes as events.
+    /// Sends a request whose response is an event stream.
     pub fn stream(&self, call: Call<'_>) -> Result<Started, Fault> {
         let response = send(&self.streams, call)?;
         started(response, call.attempt)
     }
 
-    /// Goes on with a stream after `offset` events.
+    /// Resumes a stream after `offset` events.
     pub fn resume(
         &self,
         address: &str,
@@ -176,13 +176,13 @@
         started(response, attempt)
     }
 
-    /// Ends a try at its endpoint.
+    /// Cancels an attempt at its endpoint.
     pub fn cancel(&self, address: &str, attempt: &str) {
         let url = format!("http://{address}/attempts/{attempt}/cancel");
         let _ = self.control.post(&url).call();
     }
 
-    /// Asks an endpoint for its report.
+    /// Reads an endpoint's load report.
     pub fn load(&self, address: &str) -> Result<EndpointReport, Fault> {
         let url = format!("http://{address}/load");
         let failed = |detail: String| Fault::new(AttemptStage::MaybeSent, false, detail);
@@ -200,7 +200,7 @@
         serde_json::from_slice(&body).map_err(|e| failed(e.to_string()))
     }
 
-    /// Gives an order; the answer's status.
+    /// Sends an order; returns the response status.
     pub fn order(&self, address: &str, order: &impl Serialize) -> Result<u16, Fault> {
         let url = format!("http://{address}/orders");
         let body = serde_json::to_vec(order).unwrap_or_default();
@@ -249,7 +249,7 @@
     }
 }
 
-/// A stream that has begun, or an answer that is no stream.
+/// A stream that has started, or a response that is not a stream.
 pub enum Started {
     Stream(Events),
     Whole(Answer),
@@ -290,21 +290,21 @@
 /// One event of a stream.
 #[derive(Debug, PartialEq)]
 pub enum Event {
-    /// The event as it goes on to the caller, its empty line included.
+    /// The event as it is forwarded to the caller, including its empty line.
     Data(Bytes),
-    /// The end marker: the answer is whole.
+    /// The end marker: the stream is complete.
     Done,
 }
 
-/// The events of a stream.
+/// Reads the events of a stream.
 pub struct Events {
     input: Box<dyn BufRead + Send>,
-    /// Events so far, in this connection.
+    /// Events read on this connection.
     pub seen: u64,
 }
 
 impl Events {
-    /// Reads the next event; a stream that ends without its marker is an error.
+    /// Reads the next event; a stream that ends without the end marker is an error.
     pub fn read(&mut self) -> Result<Event, Fault> {
         let broken = |detail: String| Fault::new(AttemptStage::MaybeSent, true, detail);
         let mut event = Vec::new();
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
 //! A serving system that runs online and batch inference on one fleet.
 //!
-//! The decisions are in [`decide`], pure; the other modules are the shells around them.
+//! The decision logic is in [`decide`] and does no I/O; the other modules connect it to sockets,
+//! clocks and storage.
 
 pub mod batch;
 pub mod bench;
--- a/src/store.rs
+++ b/src/store.rs
@@ -226,7 +226,7 @@
     ///
     /// The first expected key must be written by the transaction, with a value that holds a nonce:
     /// the same bytes read back can then only be this transaction's.
-    pub async fn commit(&self, txn: Txn, patience: Duration) -> Settled {
+    pub async fn commit(&self, txn: Txn, timeout: Duration) -> Settled {
         let (key, expect) = match txn.expect.first() {
             Some((key, expect)) => (key.clone(), *expect),
             None => return Settled::Away("a transaction without a condition".into()),
@@ -263,7 +263,7 @@
                 }
             }
         };
-        match tokio::time::timeout(patience, settle).await {
+        match tokio::time::timeout(timeout, settle).await {
             Ok(Settled::Away(_)) => Settled::Away(detail),
             Ok(settled) => settled,
             Err(_) => Settled::Unknown(detail),
