--- a/src/http.rs
+++ b/src/http.rs
@@ -1,15 +1,16 @@
-//! HTTP towards callers.
+//! HTTP server for callers.
 //!
-//! `tiny_http` serves the operators' pages, but not the callers: it bounds neither connections, nor
-//! the size of a head, nor the time a head may take, and one failed `accept` (descriptors used up)
-//! ends its listener for good. Here `httparse` reads the heads and this module sets the bounds.
+//! `tiny_http` serves the operators' pages, but not callers: it limits neither the number of
+//! connections, nor the size of a head, nor the time to receive one, and one failed `accept` (out
+//! of file descriptors) ends its listener for good. Here `httparse` parses the heads and this
+//! module enforces the limits.
 
 pub mod problem;
 pub mod server;
 
 use bytes::Bytes;
 
-/// One request, read whole before it is handled.
+/// A request, read completely before it is handled.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     pub method: String,
@@ -19,7 +20,7 @@
     pub body: Bytes,
 }
 
-/// The first header of that name, whatever its case.
+/// The first header with that name, compared case-insensitively.
 pub fn header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers
         .iter()
@@ -28,7 +29,7 @@
 }
 
 impl Request {
-    /// The first header of that name, whatever its case.
+    /// The first header with that name, compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
--- a/src/http/problem.rs
+++ b/src/http/problem.rs
@@ -7,14 +7,14 @@
 
 pub use crate::decide::refusal::RefusalKind;
 
-/// A refusal or failure as the caller sees it.
+/// A refusal or failure as reported to the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Problem {
     pub kind: RefusalKind,
     pub detail: String,
-    /// True only when no endpoint can have got a byte of the request.
+    /// True only when no endpoint can have received any byte of the request.
     pub not_run: bool,
-    /// When asking again makes sense.
+    /// Time after which a retry makes sense.
     pub retry_after: Option<Duration>,
 }
 
@@ -31,7 +31,7 @@
 }
 
 impl Problem {
-    /// A problem that arose before any endpoint was chosen.
+    /// A problem that occurred before an endpoint was chosen.
     pub fn not_run(kind: RefusalKind, detail: impl Into<String>) -> Problem {
         Problem {
             kind,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A problem after an endpoint may have got some of the request.
+    /// A problem that occurred after an endpoint may have received part of the request.
     pub fn maybe_run(kind: RefusalKind, detail: impl Into<String>) -> Problem {
         Problem {
             kind,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Adds when to come back.
+    /// Sets the time after which the caller may retry.
     pub fn after(mut self, retry_after: Duration) -> Problem {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The whole seconds of `Retry-After`, at least one.
+    /// Value of `Retry-After`: whole seconds, at least one.
     pub fn retry_after_s(&self) -> Option<u64> {
         let wait = self.retry_after?;
         Some(wait.as_millis().div_ceil(1000).max(1) as u64)
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A bounded HTTP/1.1 server: a thread a connection, no more than a set number of them.
+//! An HTTP/1.1 server with one thread per connection and a limit on the number of connections.
 
 use std::io::{self, BufWriter, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 const REFUSAL_RETRY: Duration = Duration::from_secs(1);
 
-/// Bounds on what callers may use of this process.
+/// Limits on what callers may use of this process.
 #[derive(Debug, Clone)]
 pub struct Limits {
     pub max_connections: usize,
@@ -30,9 +30,9 @@
     pub head_timeout: Duration,
     /// From the end of the head to the end of the body.
     pub body_timeout: Duration,
-    /// A connection that asks nothing for so long is closed.
+    /// A connection without a request for this long is closed.
     pub idle_timeout: Duration,
-    /// A caller that takes no byte for so long is dropped.
+    /// A caller that reads nothing for this long is disconnected.
     pub write_timeout: Duration,
 }
 
@@ -61,9 +61,9 @@
     limits: Limits,
     connections: AtomicUsize,
     busy: AtomicUsize,
-    /// Answers ask callers to open a new connection.
+    /// Responses ask callers to open a new connection.
     draining: AtomicBool,
-    /// Nothing new is accepted and idle connections are closed.
+    /// No new connection is accepted and idle ones are closed.
     closing: AtomicBool,
 }
 
@@ -103,16 +103,16 @@
         self.shared.connections.load(Ordering::SeqCst)
     }
 
-    /// Goes on serving, but asks callers to leave with each answer.
+    /// Keeps serving, but closes each connection with its next response.
     pub fn drain(&self) {
         self.shared.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Accepts nothing more and closes idle connections; requests in hand go on.
+    /// Stops accepting and closes idle connections; requests in progress continue.
     pub fn close(&self) {
         self.drain();
         self.shared.closing.store(true, Ordering::SeqCst);
-        // Wakes the accept loop, which otherwise waits for one more caller.
+        // Wakes the accept loop, which otherwise blocks until the next caller connects.
         let _ = TcpStream::connect_timeout(&self.address, IDLE_SLICE);
     }
 }
@@ -124,10 +124,11 @@
     loop {
         match listener.accept() {
             Ok((stream, _)) => admit(stream, &shared, &handler),
-            // Only an empty backlog ends the loop, so that no caller that was already
+            // The loop ends only when the backlog is empty, so that no caller that has already
             // connected sees a reset at a planned stop.
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-            // Descriptors used up, or a caller gone before it was accepted: the listener lives on.
+            // Out of file descriptors, or the caller disconnected before it was accepted: keep
+            // listening.
             Err(_) => clock::sleep(ACCEPT_PAUSE),
         }
         if shared.closing.load(Ordering::SeqCst) {
@@ -145,20 +146,20 @@
         return;
     }
     shared.connections.fetch_add(1, Ordering::SeqCst);
-    let (own_shared, own_handler) = (shared.clone(), handler.clone());
+    let (thread_shared, thread_handler) = (shared.clone(), handler.clone());
     let spawned = thread::Builder::new()
         .name("caller".into())
         .stack_size(STACK_BYTES)
         .spawn(move || {
-            let _ = Connection::open(stream, &own_shared).and_then(|c| c.run(&*own_handler));
-            own_shared.connections.fetch_sub(1, Ordering::SeqCst);
+            let _ = Connection::open(stream, &thread_shared).and_then(|c| c.run(&*thread_handler));
+            thread_shared.connections.fetch_sub(1, Ordering::SeqCst);
         });
     if spawned.is_err() {
         shared.connections.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Answers one connection over the limit at once, without a thread for it.
+/// Refuses a connection over the limit at once, without a thread for it.
 fn refuse(mut stream: TcpStream) {
     let problem =
         Problem::not_run(RefusalKind::ServiceFull, "too many connections").after(REFUSAL_RETRY);
@@ -231,7 +232,7 @@
     out
 }
 
-/// Writes the answer to one request; every request gets exactly one.
+/// Writes the response to one request; every request gets exactly one.
 pub struct Responder {
     stream: BufWriter<TcpStream>,
     keep: bool,
@@ -246,7 +247,7 @@
 }
 
 impl Responder {
-    /// Sends a whole answer.
+    /// Sends a complete response.
     pub fn full(&mut self, head: &Head, body: &[u8]) -> io::Result<()> {
         self.state = Sent::All;
         self.stream
@@ -265,7 +266,7 @@
         self.full(&problem_head(problem), &problem.body())
     }
 
-    /// Starts a chunked answer.
+    /// Starts a chunked response.
     pub fn start(&mut self, head: &Head) -> io::Result<()> {
         self.state = Sent::Streaming;
         let mut out = Vec::with_capacity(256);
@@ -275,7 +276,7 @@
         self.stream.flush()
     }
 
-    /// Sends one piece at once.
+    /// Sends one chunk immediately.
     pub fn chunk(&mut self, piece: &[u8]) -> io::Result<()> {
         if piece.is_empty() {
             return Ok(());
@@ -286,21 +287,22 @@
         self.stream.flush()
     }
 
-    /// Ends a chunked answer; one that is not ended is seen by the caller as broken.
+    /// Ends a chunked response; without this call the caller sees the response as broken.
     pub fn end(&mut self) -> io::Result<()> {
         self.state = Sent::All;
         self.stream.write_all(b"0\r\n\r\n")?;
         self.stream.flush()
     }
 
-    /// Sends bytes as they are and closes the connection after; stand-ins break answers with it.
+    /// Sends raw bytes, after which the connection is closed; simulated engines break responses
+    /// with it.
     pub fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.state = Sent::Streaming;
         self.stream.write_all(bytes)?;
         self.stream.flush()
     }
 
-    /// Whether any byte of an answer went out.
+    /// Whether any byte of a response was sent.
     pub fn started(&self) -> bool {
         self.state != Sent::Nothing
     }
@@ -344,15 +346,15 @@
                 return Ok(());
             }
             self.shared.busy.fetch_add(1, Ordering::SeqCst);
-            let went_on = self.serve_one(handler);
+            let keep_open = self.serve_one(handler);
             self.shared.busy.fetch_sub(1, Ordering::SeqCst);
-            if !went_on? {
+            if !keep_open? {
                 return Ok(());
             }
         }
     }
 
-    /// Reads one request and answers it; false when the connection is to be closed.
+    /// Reads and answers one request; false when the connection must be closed.
     fn serve_one(
         &mut self,
         handler: &impl Fn(&Request, &mut Responder) -> io::Result<()>,
@@ -384,20 +386,21 @@
         }
     }
 
-    /// Takes what the caller is still sending, so that a reset does not overtake the refusal.
+    /// Reads what the caller is still sending, so that a reset does not overtake the refusal.
     fn discard(&mut self) {
         let _ = self.stream.set_read_timeout(Some(IDLE_SLICE));
         let until = clock::now() + IDLE_SLICE * 2;
-        let mut waste = [0; READ_BYTES];
+        let mut discarded = [0; READ_BYTES];
         while clock::now() < until {
-            match self.stream.read(&mut waste) {
+            match self.stream.read(&mut discarded) {
                 Ok(count) if count > 0 => {}
                 _ => return,
             }
         }
     }
 
-    /// Waits for the first byte; false when idle for too long, closed, or the server closes.
+    /// Waits for the first byte; false after the idle timeout, or when the caller or the server
+    /// closes.
     fn wait_for_request(&mut self) -> io::Result<bool> {
         let until = clock::now() + self.shared.limits.idle_timeout;
         while self.buffer.is_empty() {
@@ -422,7 +425,7 @@
         Ok(count)
     }
 
-    /// Reads more before `until`; `None` when the time is up.
+    /// Reads more bytes before `until`; `None` when the time is up.
     fn fill_until(&mut self, until: Duration) -> io::Result<Option<usize>> {
         let left = until.saturating_sub(clock::now());
         if left.is_zero() {
@@ -563,7 +566,7 @@
     )
 }
 
-/// Parses a head; `None` while it is not whole.
+/// Parses a request head; `None` while it is incomplete.
 fn parse_head(buffer: &[u8]) -> Result<Option<(Request, usize, Body)>, Problem> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
@@ -595,8 +598,8 @@
     Ok(Some((request, length, body)))
 }
 
-/// How the body's end is known; a request that tells it in two ways is refused, since a proxy
-/// before us might read the other one and take part of the body for a request of its own.
+/// Determines how the end of the body is known. A request that states it in two ways is refused: a
+/// proxy in front might use the other one and take part of the body for a separate request.
 fn body_kind(request: &Request) -> Result<Body, Problem> {
     let bad = |detail: &str| Err(Problem::not_run(RefusalKind::BadRequest, detail));
     let lengths: Vec<&str> = request
--- a/src/id.rs
+++ b/src/id.rs
@@ -1,18 +1,18 @@
-//! Ids, and the hashes that place things on machines.
+//! Ids, and the hashes by which work is assigned to machines.
 
 use std::sync::Arc;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// A name as operators write it.
+/// A name from the configuration.
 pub type Name = Arc<str>;
-/// Hash of a VM's name; what heartbeats and rendezvous hashing use.
+/// Hash of a VM's name, used in heartbeats and for rendezvous hashing.
 pub type VmId = u64;
-/// One run of a VM's batch process, drawn at its start; 0 stands for none.
+/// One run of a VM's batch process: a random number drawn at its start; 0 means none.
 pub type OwnerId = u64;
-/// Hash of an endpoint's name and of the start of its process; see [`of_process`].
+/// Hash of an endpoint's name and its process's start time; see [`of_process`].
 pub type EndpointId = u64;
-/// Hash of the name under which an endpoint is registered, whichever its process.
+/// Hash of the name under which an endpoint is registered, the same for all its processes.
 pub type EntryId = u64;
 /// Hash of a service's name.
 pub type ServiceId = u64;
@@ -24,20 +24,21 @@
 pub type ModelId = u64;
 /// One online request within one entry process.
 pub type RequestId = u64;
-/// One try of a request or item at one endpoint; echoed by endpoints.
+/// One attempt of a request or item at one endpoint; endpoints echo it.
 pub type AttemptId = String;
 /// A batch job's id, `batch_` and a digest.
 pub type JobId = Arc<str>;
 /// Version of the configuration; higher is newer.
 pub type ConfigVersion = u64;
-/// Revision that the key-value service gives to each write.
+/// Revision that the store assigns to each write.
 pub type Revision = u64;
-/// Fencing number: grows by one with each change of owner.
+/// Fencing number: increases by one with each change of owner.
 pub type Epoch = u64;
 /// Distinguishes two writes with the same content.
 pub type Nonce = u64;
-/// Start time of a process in Unix milliseconds. A later start of a VM's process wins; of an endpoint's,
-/// whose clock may jump, only another one is told from it, and the store's revisions tell the order.
+/// Start time of a process in Unix milliseconds. Of two processes of a VM the one with the later
+/// start wins. The clock of an endpoint may jump: its start time only distinguishes processes, and
+/// the store's revisions order them.
 pub type Incarnation = u64;
 
 /// Hashes a name to the id used in tables and on the wire.
@@ -47,9 +48,9 @@
 
 /// Id of one process of an endpoint.
 ///
-/// The failure: an endpoint starts again under its name, and what was known of the process before (that it
-/// left, its failures, its connections, others' counts) is held against the new one. Each process has an id
-/// of its own, so that no table can mix them up.
+/// Each process has its own id. With one id per name, what is known of an earlier process (that it
+/// was leaving, its failures, its connections, other VMs' counts) would be applied to the process
+/// that restarted under the same name.
 pub fn of_process(name: &str, incarnation: Option<Incarnation>) -> u64 {
     let entry = of(name);
     incarnation.map_or(entry, |start| {
@@ -57,7 +58,8 @@
     })
 }
 
-/// Weight of `owner` for `key` in rendezvous hashing; the highest weight owns.
+/// Weight of `owner` for `key` in rendezvous hashing; the owner with the highest weight gets the
+/// key.
 pub fn weight(key: u64, owner: u64) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), owner)
 }
--- a/src/launch.rs
+++ b/src/launch.rs
@@ -1,4 +1,4 @@
-//! The start of a process: its one argument, its settings, its exit code.
+//! Process start: command line, settings and exit code.
 
 use std::fmt::Display;
 use std::path::PathBuf;
@@ -11,7 +11,7 @@
 
 const USAGE: u8 = 2;
 
-/// Reads the settings that the command line names and runs the process with them.
+/// Reads the settings file named on the command line and runs the process with it.
 pub fn launch<T: DeserializeOwned, E: Display>(
     name: &'static str,
     check: impl Fn(&T) -> Vec<Found>,
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -26,7 +26,7 @@
 
 /// Lines that may wait for the writer; a burst of some seconds at the highest rate met.
 const LINES_WAITING: usize = 4096;
-/// Lines of one second at the most; the rest of that second is counted and told in one line.
+/// Lines of one second at the most; the rest of that second is counted and notice in one line.
 const LINES_PER_S: u32 = 400;
 
 /// Starts logging to standard error.
@@ -48,10 +48,10 @@
             return;
         };
         if dropped > 0 {
-            let told = format!("{{\"message\":\"log lines dropped\",\"lines\":{dropped}}}");
+            let notice = format!("{{\"message\":\"log lines dropped\",\"lines\":{dropped}}}");
             // Full: this count is lost with the lines.
             WAITING.fetch_add(1, Ordering::SeqCst);
-            if sender.try_send(told).is_err() {
+            if sender.try_send(notice).is_err() {
                 WAITING.fetch_sub(1, Ordering::SeqCst);
             }
         }
@@ -67,7 +67,7 @@
     let writer = thread::Builder::new().name("log".into());
     let spawned = writer.spawn(move || write_lines(&lines));
     if let Err(error) = spawned {
-        eprintln!("logging has no thread: {error}");
+        eprintln!("the log thread did not start: {error}");
     }
 }
 
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a process, by `prometheus`.
+//! Prometheus counters, gauges and histograms of a process.
 
 use std::time::Duration;
 
@@ -9,19 +9,19 @@
 
 use crate::pages::Page;
 
-/// A registry and the ways to add to it; a name that clashes is a programming error that shows as a
-/// missing metric, never as a stopped process.
+/// A registry of metrics. A duplicate name is a programming error: the metric is then missing from
+/// the page, but the process keeps running.
 #[derive(Clone, Default)]
 pub struct Metrics {
     registry: Registry,
 }
 
 impl Metrics {
-    /// A counter by labels.
+    /// A counter with labels.
     pub fn counters(&self, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
         let fallback = || IntCounterVec::new(Opts::new("invalid", "invalid"), &[]);
-        let made = IntCounterVec::new(Opts::new(name, help), labels).or_else(|_| fallback());
-        let counters = made.expect("the fallback's names are valid");
+        let created = IntCounterVec::new(Opts::new(name, help), labels).or_else(|_| fallback());
+        let counters = created.expect("the fallback's names are valid");
         let _ = self.registry.register(Box::new(counters.clone()));
         counters
     }
@@ -32,11 +32,11 @@
             .with_label_values::<&str>(&[])
     }
 
-    /// A gauge by labels.
+    /// A gauge with labels.
     pub fn gauges(&self, name: &str, help: &str, labels: &[&str]) -> GaugeVec {
         let fallback = || GaugeVec::new(Opts::new("invalid", "invalid"), &[]);
-        let made = GaugeVec::new(Opts::new(name, help), labels).or_else(|_| fallback());
-        let gauges = made.expect("the fallback's names are valid");
+        let created = GaugeVec::new(Opts::new(name, help), labels).or_else(|_| fallback());
+        let gauges = created.expect("the fallback's names are valid");
         let _ = self.registry.register(Box::new(gauges.clone()));
         gauges
     }
@@ -53,13 +53,13 @@
         ];
         let opts = HistogramOpts::new(name, help).buckets(buckets);
         let fallback = || HistogramVec::new(HistogramOpts::new("invalid", "invalid"), &[]);
-        let made = HistogramVec::new(opts, &[]).or_else(|_| fallback());
-        let times = made.expect("the fallback's names are valid");
+        let created = HistogramVec::new(opts, &[]).or_else(|_| fallback());
+        let times = created.expect("the fallback's names are valid");
         let _ = self.registry.register(Box::new(times.clone()));
         times.with_label_values::<&str>(&[])
     }
 
-    /// The page that is scraped.
+    /// The metrics page for scraping.
     pub fn page(&self) -> Page {
         let mut body = Vec::new();
         let encoder = TextEncoder::new();
@@ -72,9 +72,10 @@
     }
 }
 
-/// Processor time that this process has used.
+/// Processor time used by this process.
 pub fn processor_time() -> Duration {
-    // Fields 14 and 15 of the kernel's page, counted after the name, in hundredths of a second.
+    // utime and stime, fields 14 and 15 of the file, are fields 11 and 12 after the name; the unit
+    // is 10 ms.
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after = text.rsplit(')').next().unwrap_or_default();
     let field = |at: usize| -> u64 {
@@ -87,7 +88,7 @@
     Duration::from_millis((field(11) + field(12)) * 10)
 }
 
-/// Resident memory of a process, in bytes.
+/// Resident memory of a process in bytes.
 pub fn resident_bytes(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/src/pages.rs
+++ b/src/pages.rs
@@ -1,4 +1,5 @@
-//! Pages for operators, by `tiny_http`: metrics, dump, health, and what waits and why.
+//! Operator pages, served by `tiny_http`: metrics, state dump, health, and waiting requests with
+//! their reasons.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +15,7 @@
 
 const BACKLOG: i32 = 512;
 
-/// What a page shows.
+/// A page with its status and content type.
 #[derive(Debug, Clone)]
 pub struct Page {
     pub status: u16,
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Sends it by the server towards callers.
+    /// Sends the page through the server for callers.
     pub fn reply(self, out: &mut Responder) -> io::Result<()> {
         out.full(&Head::new(self.status, self.content_type), &self.body)
     }
 
-    /// Sends it in answer to a request.
+    /// Sends the page as the response to `request`.
     pub fn send(self, request: Request) {
         let header = Header::from_bytes("Content-Type", self.content_type);
         let mut response = Response::from_data(self.body).with_status_code(self.status);
@@ -58,8 +59,8 @@
     }
 }
 
-/// Opens a listener whose connections send small pieces at once and whose port can be taken again
-/// at once after a restart.
+/// Opens a listener whose connections send small writes immediately and whose port can be reused
+/// right after a restart.
 pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -67,14 +68,15 @@
         Some(Protocol::TCP),
     )?;
     socket.set_reuse_address(true)?;
-    // Connections inherit this; otherwise a stream's tokens wait for acknowledgements.
+    // Accepted connections inherit TCP_NODELAY; without it a stream's tokens wait for
+    // acknowledgements.
     socket.set_nodelay(true)?;
     socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     Ok(socket.into())
 }
 
-/// Serves requests on a number of threads until the process ends.
+/// Serves requests on `threads` threads until the process ends.
 pub fn serve(
     listener: TcpListener,
     threads: usize,
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,4 +1,4 @@
-//! Questions between VMs: one frame each way over TCP.
+//! Requests between VMs: one frame each way over TCP.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,11 +15,11 @@
 const CONNECTIONS_MAX: usize = 128;
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Asks another VM.
+/// Sends a request to another VM and waits for the reply.
 pub fn call(
     address: SocketAddr,
     key: &Key,
-    ask: &PeerAsk,
+    request: &PeerAsk,
     timeout: Duration,
 ) -> Result<PeerReply, wire::Error> {
     let connect = || -> io::Result<TcpStream> {
@@ -30,34 +30,35 @@
         Ok(stream)
     };
     let mut stream = connect().map_err(|source| wire::Error::Io { source })?;
-    write_frame(&mut stream, key, ask)?;
+    write_frame(&mut stream, key, request)?;
     read_frame(&mut stream, key)
 }
 
-/// Answers other VMs until the process ends.
+/// Answers requests of other VMs until the process ends.
 pub fn serve(
     listener: TcpListener,
     key: Key,
     handler: impl Fn(PeerAsk) -> PeerReply + Send + Sync + 'static,
 ) -> io::Result<()> {
     let handler = Arc::new(handler);
-    let open = Arc::new(AtomicUsize::new(0));
+    let connections = Arc::new(AtomicUsize::new(0));
     let accept = move || loop {
         let Ok((stream, _)) = listener.accept() else {
             clock::sleep(ACCEPT_PAUSE);
             continue;
         };
-        if open.load(Ordering::SeqCst) >= CONNECTIONS_MAX {
+        if connections.load(Ordering::SeqCst) >= CONNECTIONS_MAX {
             continue;
         }
-        open.fetch_add(1, Ordering::SeqCst);
-        let (key, handler, own_open) = (key.clone(), handler.clone(), open.clone());
+        connections.fetch_add(1, Ordering::SeqCst);
+        let (key, handler, thread_connections) =
+            (key.clone(), handler.clone(), connections.clone());
         let spawned = thread::Builder::new().name("peer".into()).spawn(move || {
             let _ = answer(stream, &key, &*handler);
-            own_open.fetch_sub(1, Ordering::SeqCst);
+            thread_connections.fetch_sub(1, Ordering::SeqCst);
         });
         if spawned.is_err() {
-            open.fetch_sub(1, Ordering::SeqCst);
+            connections.fetch_sub(1, Ordering::SeqCst);
         }
     };
     thread::Builder::new().name("peers".into()).spawn(accept)?;
@@ -78,7 +79,7 @@
         .set_write_timeout(Some(IDLE_TIMEOUT))
         .map_err(io_error)?;
     loop {
-        let ask: PeerAsk = read_frame(&mut stream, key)?;
-        write_frame(&mut stream, key, &handler(ask))?;
+        let request: PeerAsk = read_frame(&mut stream, key)?;
+        write_frame(&mut stream, key, &handler(request))?;
     }
 }
--- a/src/segments.rs
+++ b/src/segments.rs
@@ -1,4 +1,4 @@
-//! Write-once content: inline in the key-value service, or copies on VMs with disks.
+//! Immutable content: stored inline in the key-value service, or as copies on VMs with disks.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
 use crate::settings::BulkPeer;
 use crate::wire::{Key, PeerAsk, PeerReply};
 
-/// Content up to this size may go inline.
+/// Largest content that is stored inline.
 pub const INLINE_BYTES: usize = VALUE_BYTES / 2;
-/// Parts of one piece of content at the most: a chunk of a job has 4 MiB, and one line more.
+/// Most parts of one piece of content: a chunk of a job has 4 MiB plus at most one line.
 const PARTS_MAX: usize = 16;
 const PATIENCE: Duration = Duration::from_secs(3);
 const BULK_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why content could not be kept or read.
+/// Why content could not be stored or read.
 #[derive(Debug, Snafu)]
 pub enum Error {
     #[snafu(display("the platform is away"))]
@@ -33,7 +33,7 @@
     Missing { digest: String },
 }
 
-/// Where content is kept.
+/// Stores and reads content.
 #[derive(Clone)]
 pub struct Segments {
     pub platform: Platform,
@@ -43,10 +43,10 @@
 }
 
 impl Segments {
-    /// Keeps content; it is safe when this returns.
+    /// Stores content; it is durable when this returns.
     pub fn store(&self, content: &Bytes, lines: u32, inline: bool) -> Result<Segment, Error> {
         let digest = id::digest(content);
-        let place = if inline && content.len() <= INLINE_BYTES {
+        let location = if inline && content.len() <= INLINE_BYTES {
             self.store_inline(&digest, content)?
         } else if self.bulk.is_empty() {
             self.store_parts(&digest, content)?
@@ -57,7 +57,7 @@
             digest,
             bytes: content.len() as u64,
             lines,
-            place,
+            place: location,
         })
     }
 
@@ -65,13 +65,13 @@
         let text = String::from_utf8_lossy(content);
         let until = clock::now() + PATIENCE;
         match self.platform.commit(&segment_key(digest), 0, &text, until) {
-            // The same digest is the same content, whoever wrote it.
+            // Equal digests mean equal content, whichever process wrote it.
             Settled::Won(_) | Settled::Lost(Some(_)) => Ok(ContentLocation::Inline),
             _ => PlatformSnafu.fail(),
         }
     }
 
-    /// Keeps content that no value holds, where no VM has a disk, as several values.
+    /// Stores content that is too large for one value as several values, when no VM has a disk.
     fn store_parts(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let Ok(text) = std::str::from_utf8(content) else {
             return TooLargeSnafu {
@@ -90,7 +90,7 @@
             let until = clock::now() + PATIENCE;
             let key = part_key(digest, number as u32);
             match self.platform.commit(&key, 0, part, until) {
-                // The same digest is the same content, cut alike, whoever wrote it.
+                // Equal digests mean equal content, split the same way, whichever process wrote it.
                 Settled::Won(_) | Settled::Lost(Some(_)) => {}
                 _ => return PlatformSnafu.fail(),
             }
@@ -101,7 +101,7 @@
     fn store_bulk(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let mut domains: Vec<&Name> = Vec::new();
         let mut names = Vec::new();
-        let ask = PeerAsk::Put {
+        let request = PeerAsk::Put {
             digest: digest.to_owned(),
             content: content.clone(),
         };
@@ -112,8 +112,8 @@
             if domains.contains(&&peer.failure_domain) {
                 continue;
             }
-            let kept = peer::call(peer.address, &self.key, &ask, BULK_TIMEOUT);
-            if matches!(kept, Ok(PeerReply::Kept)) {
+            let reply = peer::call(peer.address, &self.key, &request, BULK_TIMEOUT);
+            if matches!(reply, Ok(PeerReply::Kept)) {
                 domains.push(&peer.failure_domain);
                 names.push(peer.name.clone());
             }
@@ -128,7 +128,7 @@
         Ok(ContentLocation::Bulk(names))
     }
 
-    /// All VMs with disks, those that should hold this content first.
+    /// All VMs with disks, those that should store this content first.
     fn ranked(&self, digest: &str) -> Vec<&BulkPeer> {
         let order = ranked(
             id::of(digest),
@@ -138,7 +138,7 @@
         order.iter().filter_map(find).collect()
     }
 
-    /// Reads content, from whichever copy is whole.
+    /// Reads content from the first copy that matches its digest.
     pub fn load(&self, segment: &Segment) -> Result<Bytes, Error> {
         let digest = &segment.digest;
         let names = match &segment.place {
@@ -146,14 +146,15 @@
             ContentLocation::Parts(count) => return self.load_parts(digest, *count),
             ContentLocation::Bulk(names) => names,
         };
-        // Repair may have moved copies since the record was written: ask those named first.
+        // Repair may have moved copies since the record was written: all VMs with disks are asked,
+        // those named in the record first.
         let mut peers = self.ranked(digest);
         peers.sort_by_key(|peer| !names.contains(&peer.name));
-        let ask = PeerAsk::Get {
+        let request = PeerAsk::Get {
             digest: digest.clone(),
         };
         for peer in peers {
-            let reply = peer::call(peer.address, &self.key, &ask, BULK_TIMEOUT);
+            let reply = peer::call(peer.address, &self.key, &request, BULK_TIMEOUT);
             if let Ok(PeerReply::Content(Some(content))) = reply {
                 if id::digest(&content) == *digest {
                     return Ok(content);
@@ -189,7 +190,7 @@
     }
 }
 
-/// Cuts text into parts of at most so many bytes, between characters.
+/// Splits text into parts of at most `bytes_max` bytes, at character boundaries.
 fn split(text: &str, bytes_max: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = text;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process: a small JSON file, checked whole.
+//! Settings of one process, read from a JSON file and validated as a whole.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use crate::decide::routing::Policy;
 use crate::id::Name;
 
-/// How log lines look.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// One JSON object a line.
+    /// One JSON object per line.
     #[default]
     Json,
     Text,
@@ -58,26 +58,26 @@
     pub platform_address: SocketAddr,
     /// Secret that all VMs share; datagrams and frames are authenticated with it.
     pub cluster_key: String,
-    /// Gossip addresses to try first, before the platform's list is known.
+    /// Gossip addresses to contact before the platform's VM list has been read.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// Where the last configuration is kept over a restart; nothing is kept without it.
+    /// Where the last configuration is stored across restarts; without it nothing is stored.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// Peer addresses of the `bramley-bulk` processes, by VM name.
     #[serde(default)]
     pub bulk: Vec<BulkPeer>,
-    /// Copies of each piece of bulk content, each in another failure domain.
+    /// Copies of each piece of bulk content, each in a different failure domain.
     #[serde(default = "default_copies")]
     pub bulk_copies: usize,
     #[serde(default = "default_connections")]
     pub max_connections: usize,
     #[serde(default = "default_head_timeout_ms")]
     pub head_timeout_ms: u64,
-    /// Time between saying "leaving" and accepting nothing more, at a planned stop.
+    /// Time between announcing "leaving" and closing the listener, at a planned stop.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Time after which a planned stop cuts what is left.
+    /// Time after which a planned stop aborts the remaining requests.
     #[serde(default = "default_stop_limit_ms")]
     pub stop_limit_ms: u64,
     #[serde(default = "default_platform_timeout_ms")]
@@ -105,55 +105,56 @@
     pub name: Name,
     pub failure_domain: Name,
     pub caller_address: SocketAddr,
-    /// Where the balancer asks whether callers may be sent here.
+    /// Where the load balancer checks whether this process accepts callers.
     pub ready_address: SocketAddr,
-    /// Metrics and the dump.
+    /// Metrics and the state dump.
     pub operators_address: SocketAddr,
     /// TCP, towards other VMs.
     pub peer_address: SocketAddr,
     /// UDP, towards other VMs; the same port on all of them.
     pub gossip_address: SocketAddr,
     pub store_address: SocketAddr,
-    /// Peer addresses to try first, before the store has told who is there.
+    /// Peer addresses to contact before the VM list has been read from the store.
     #[serde(default)]
     pub peers: Vec<SocketAddr>,
-    /// All VMs share it; keeps messages of other deployments out.
+    /// Shared by all VMs; rejects messages of other deployments.
     pub cluster_key: String,
-    /// Part of a core that this VM has; those with most of it speak and watch for the others.
+    /// Fraction of a core that this VM has; the VMs with the largest fractions act as delegates and
+    /// watch the store for the others.
     #[serde(default = "default_core_share")]
     pub core_share: f64,
-    /// VMs up to which each one tells every other one what it has in flight.
+    /// Number of VMs up to which every VM reports its requests in flight to every other one.
     #[serde(default = "default_mesh_max")]
     pub mesh_max: usize,
     /// Time between "not ready" and the closing of idle connections, at a planned stop.
     #[serde(default = "default_drain_ms")]
     pub drain_ms: u64,
-    /// Time after which a planned stop cuts what is left.
+    /// Time after which a planned stop aborts the remaining requests.
     #[serde(default = "default_stop_limit_ms")]
     pub stop_limit_ms: u64,
-    /// Batch results are kept for so long after their submission.
+    /// Time for which batch results are kept after the job was submitted.
     #[serde(default = "default_retention_s")]
     pub results_kept_s: u64,
     /// How online requests are routed.
     #[serde(default)]
     pub routing: Policy,
-    /// Part of a route's limit on waiting tokens by which it may be exceeded for a while.
+    /// Fraction of a route's limit on waiting tokens by which it may be exceeded temporarily.
     #[serde(default)]
     pub waiting_overage: f64,
-    /// Seconds of the sliding window over which requests of a workspace are counted.
+    /// Length in seconds of the sliding window in which a workspace's requests are counted.
     #[serde(default = "default_quota_window_s")]
     pub quota_window_s: f64,
-    /// Part of a workspace's quota by which it may be exceeded for a while.
+    /// Fraction of a workspace's quota by which it may be exceeded temporarily.
     #[serde(default)]
     pub quota_overage: f64,
-    /// Requests by which any quota may be exceeded for a while.
+    /// Requests by which any quota may be exceeded temporarily.
     #[serde(default)]
     pub quota_slack: f64,
     #[serde(default)]
     pub log: Log,
 }
 
-/// Settings of a process on a VM whose disk a deployment doesn't need.
+/// Settings of a process on a VM whose disk the deployment doesn't need.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Idle {
@@ -202,13 +203,13 @@
     /// Content older than this is removed.
     #[serde(default = "default_retention_s")]
     pub retention_s: u64,
-    /// Content is refused when this much is kept.
+    /// New content is refused once this much is stored.
     #[serde(default = "default_max_bytes")]
     pub max_bytes: u64,
-    /// Copies of each piece, each in another failure domain.
+    /// Copies of each piece, each in a different failure domain.
     #[serde(default = "default_copies")]
     pub bulk_copies: usize,
-    /// Time between two looks for pieces with too few copies.
+    /// Interval between checks for pieces with too few copies.
     #[serde(default = "default_repair_ms")]
     pub repair_ms: u64,
     #[serde(default)]
@@ -263,7 +264,7 @@
     30_000
 }
 
-/// Reads settings; `check` adds what types can't tell.
+/// Reads settings; `check` validates what the types can't express.
 pub fn read<T: DeserializeOwned>(
     path: &Path,
     check: impl Fn(&T) -> Vec<Found>,
@@ -288,7 +289,7 @@
     }
 }
 
-/// A field that is wrong, what was found, and what is allowed.
+/// An invalid field: its name, the value found, and the allowed values.
 pub type Found = (&'static str, String, &'static str);
 
 fn common(cluster_key: &str, log: &Log) -> Vec<Found> {
@@ -317,7 +318,7 @@
     (!(from..=to).contains(&value)).then(|| (field, value.to_string(), allowed))
 }
 
-/// How long a planned stop takes.
+/// Checks the durations of a planned stop.
 fn stop_times(drain_ms: u64, stop_limit_ms: u64) -> impl Iterator<Item = Found> {
     let drain = between("drain_ms", drain_ms, 0, 600_000, "0 to 600000");
     drain.into_iter().chain(stop_limit(stop_limit_ms))
@@ -418,7 +419,7 @@
     found
 }
 
-/// Milliseconds of a setting as a duration.
+/// Converts the milliseconds of a setting to a duration.
 pub fn ms(value_ms: u64) -> Duration {
     Duration::from_millis(value_ms)
 }
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! Small helpers that belong to no layer.
+//! Small helpers shared by several modules.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -7,13 +7,13 @@
 
 use crate::id::Nonce;
 
-/// Locks; a thread that panicked while it held the lock left whole values, since every update
-/// under a lock is one call of a deciding function.
+/// Locks a mutex, even a poisoned one. A thread that panicked while it held the lock left
+/// consistent data, because every update under a lock is one call of a decision function.
 pub fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A number that no other write has.
+/// A random number that distinguishes one write from all others.
 pub fn nonce() -> Nonce {
     rand::rng().random()
 }
@@ -36,7 +36,7 @@
     out
 }
 
-/// Undoes [`escape`]; a broken escape stands for itself.
+/// Reverses [`escape`]; an invalid escape is kept as it is.
 pub fn unescape(text: &str) -> String {
     let mut out = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -1,4 +1,5 @@
-//! Messages between the system's own processes: `postcard`, versioned, authenticated, bounded.
+//! Messages between the processes of this system: `postcard`, versioned, authenticated,
+//! size-limited.
 
 use std::io::{self, Read, Write};
 
@@ -16,13 +17,13 @@
 
 /// Version of all formats in this module.
 pub const VERSION: u8 = 2;
-/// Largest datagram; below one packet's payload with room for tunnels.
+/// Largest datagram: fits into one packet, with room for tunnel headers.
 pub const DATAGRAM_BYTES: usize = 1400;
 /// Largest frame.
 pub const FRAME_BYTES: usize = 16 * 1024 * 1024;
 const MAC_BYTES: usize = 16;
 
-/// Why a message was not taken.
+/// Why a message was rejected.
 #[derive(Debug, Snafu)]
 pub enum Error {
     #[snafu(display("the message is too short or too long"))]
@@ -37,31 +38,31 @@
     Io { source: io::Error },
 }
 
-/// A message by UDP.
+/// A UDP message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
     Heartbeat(Heartbeat),
-    /// Online requests have come to an endpoint whose batch work another VM hands out.
+    /// Online requests have arrived at an endpoint whose batch items another VM dispatches.
     Pressure {
         endpoint: EndpointId,
         online: u32,
     },
 }
 
-/// A question of one VM to another, by TCP.
+/// A request of one VM to another, over TCP.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerAsk {
-    /// The configuration if it is newer than this.
+    /// Returns the configuration if it is newer than `have`.
     Config { have: ConfigVersion },
-    /// Job records that changed after this revision.
+    /// Returns the job records that changed after this revision.
     Jobs { after: Revision },
-    /// A question to the owner of a range of intents.
+    /// A request to the owner of a range of intents.
     Intent { key: IntentKey, ask: IntentRequest },
-    /// Keep this content.
+    /// Stores this content.
     Put { digest: String, content: Bytes },
-    /// Give this content.
+    /// Returns this content.
     Get { digest: String },
-    /// Which of these are kept there?
+    /// Tells which of these digests are stored.
     Has { digests: Vec<String> },
 }
 
@@ -77,7 +78,7 @@
     Kept,
     Content(Option<Bytes>),
     Has(Vec<bool>),
-    /// It can't be done here.
+    /// The request can't be served; the reason.
     Refused(String),
 }
 
@@ -88,16 +89,16 @@
     /// All jobs that have not ended.
     Jobs(Vec<JobRecord>),
     Crew(BatchPeers),
-    /// Batch items that each endpoint may have now.
+    /// Batch items that each endpoint may run now.
     Windows(Vec<(EndpointId, ServiceId, u32)>),
-    /// The VM leaves: hand over what is held.
+    /// The VM is leaving: hand over all claimed work.
     Leave,
 }
 
 /// From the batch process to the entry process of the same VM.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ToEntry {
-    /// The process if it takes on work or holds some, else 0.
+    /// Id of the batch process if it accepts or still holds work, else 0.
     Ready(OwnerId),
 }
 
@@ -121,7 +122,7 @@
         mac
     }
 
-    /// Encodes a message with version and digest.
+    /// Encodes a message with the version and its MAC.
     pub fn seal(&self, message: &impl Serialize) -> Result<Vec<u8>, Error> {
         let mut out = vec![0; 1 + MAC_BYTES];
         out[0] = VERSION;
@@ -131,7 +132,7 @@
         Ok(out)
     }
 
-    /// Decodes a message; nothing of it is looked at before its digest has been checked.
+    /// Decodes a message; the payload is parsed only after its MAC has been verified.
     pub fn open<T: DeserializeOwned>(&self, sealed: &[u8]) -> Result<T, Error> {
         if sealed.len() < 1 + MAC_BYTES || sealed.len() > FRAME_BYTES {
             return SizeSnafu.fail();
@@ -140,11 +141,11 @@
             return VersionSnafu { version: sealed[0] }.fail();
         }
         let (mac, payload) = sealed[1..].split_at(MAC_BYTES);
-        // blake3's own comparison takes the same time wherever the first difference is.
-        let own = blake3::keyed_hash(&self.0, payload);
-        let mut theirs = *own.as_bytes();
-        theirs[..MAC_BYTES].copy_from_slice(mac);
-        if own != blake3::Hash::from(theirs) {
+        // `blake3::Hash` compares in constant time.
+        let expected = blake3::keyed_hash(&self.0, payload);
+        let mut received = *expected.as_bytes();
+        received[..MAC_BYTES].copy_from_slice(mac);
+        if expected != blake3::Hash::from(received) {
             return MacSnafu.fail();
         }
         decode(payload)
@@ -174,7 +175,7 @@
         .map_err(|source| Error::Io { source })
 }
 
-/// Reads one frame. Memory grows with what arrives, not with the length that is announced.
+/// Reads one frame. Memory grows with the bytes received, not with the announced length.
 pub fn read_frame<T: DeserializeOwned>(input: &mut impl Read, key: &Key) -> Result<T, Error> {
     let mut length = [0; 4];
     input
