--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs by `log` and `fern`: one JSON object a line, or readable text.
+//! Logging with `log` and `fern`: one JSON object per line, or plain text.
 
 use std::fmt::Arguments;
 use std::io::Write;
@@ -24,9 +24,10 @@
     }
 }
 
-/// Lines that may wait for the writer; a burst of some seconds at the highest rate met.
+/// Lines that may be queued for the writer thread: a burst of some seconds at the highest rate
+/// seen.
 const LINES_WAITING: usize = 4096;
-/// Lines of one second at the most; the rest of that second is counted and notice in one line.
+/// Lines logged in one second at most; the excess is counted and reported in one line.
 const LINES_PER_S: u32 = 400;
 
 /// Starts logging to standard error.
@@ -36,10 +37,10 @@
     let _ = dispatch.apply();
 }
 
-/// Starts logging to standard output by a thread of its own.
+/// Starts logging to standard output from a separate thread.
 ///
-/// The failure: whoever reads the output stops reading, the pipe fills, and the event loop stands
-/// still in the middle of a log line. Lines that don't fit into the buffer are dropped and counted.
+/// Without that thread, a reader that stops reading would let the pipe fill up and block the event
+/// loop in the middle of a log line. Lines that don't fit into the queue are dropped and counted.
 pub fn start_bounded(settings: &Log, vm: &str, failure_domain: &str) {
     let (sender, lines) = mpsc::sync_channel::<String>(LINES_WAITING);
     let gate = Mutex::new(Gate::default());
@@ -49,7 +50,7 @@
         };
         if dropped > 0 {
             let notice = format!("{{\"message\":\"log lines dropped\",\"lines\":{dropped}}}");
-            // Full: this count is lost with the lines.
+            // If the queue is full, this count is lost too.
             WAITING.fetch_add(1, Ordering::SeqCst);
             if sender.try_send(notice).is_err() {
                 WAITING.fetch_sub(1, Ordering::SeqCst);
@@ -74,16 +75,16 @@
 fn write_lines(lines: &mpsc::Receiver<String>) {
     let mut out = std::io::stdout().lock();
     while let Ok(line) = lines.recv() {
-        // Nobody is left to tell when the output is closed.
+        // When the output is closed, the error can't be reported anywhere.
         let _ = writeln!(out, "{line}");
         WAITING.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Waits until the lines so far are written, for as long as `within`.
+/// Waits until the queued lines are written, for at most `within`.
 ///
-/// The failure: a busy machine ends the process before the writer's thread has had its turn, and the line
-/// that says how a planned stop ended is missing.
+/// Without this, a process on a busy machine may end before the writer thread has run, and the line
+/// that reports the end of a planned stop is lost.
 pub fn flush(within: Duration) {
     let until = clock::now() + within;
     while WAITING.load(Ordering::SeqCst) > 0 && clock::now() < until {
@@ -91,12 +92,12 @@
     }
 }
 
-/// Lines that are not written yet.
+/// Lines that are queued and not yet written.
 static WAITING: AtomicUsize = AtomicUsize::new(0);
-/// Time between two looks at the lines that are not written yet.
+/// Interval between checks for unwritten lines.
 const FLUSH_LOOK: Duration = Duration::from_millis(2);
 
-/// Bounds the lines of each second.
+/// Limits the number of lines in each second.
 #[derive(Default)]
 struct Gate {
     second: u64,
@@ -105,7 +106,8 @@
 }
 
 impl Gate {
-    /// Whether a line passes, and then how many were dropped before it.
+    /// Returns the number of lines dropped since the previous line, or `None` if this line is
+    /// dropped.
     fn pass(&mut self, now: Duration) -> Option<u32> {
         if now.as_secs() != self.second {
             self.second = now.as_secs();
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -11,27 +11,27 @@
 use crate::id::{Name, Revision};
 use crate::util::escape;
 
-/// Largest value that the service holds.
+/// Largest value that the service stores.
 pub const VALUE_BYTES: usize = 1024 * 1024;
 const REPLY_BYTES: u64 = 64 * 1024 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const SETTLE_PAUSE: Duration = Duration::from_millis(50);
 
-/// Why a call on the platform brought nothing.
+/// Why a platform call failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Nothing took effect.
+    /// The call had no effect.
     #[snafu(display("the platform is away: {detail}"))]
     Away { detail: String },
     /// A write may or may not have taken effect.
     #[snafu(display("the platform's answer was lost: {detail}"))]
     Unknown { detail: String },
-    /// The service answered what it should not.
+    /// The service answered with an unexpected status.
     #[snafu(display("the platform answered {status}"))]
     Status { status: u16 },
 }
 
-/// One key as it was read.
+/// A key with its value and revision, as read.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Entry {
     pub key: String,
@@ -39,15 +39,15 @@
     pub value: String,
 }
 
-/// What changed under a prefix.
+/// The changes under a watched prefix.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Changes {
-    /// The revision to watch after next.
+    /// The revision from which to continue the watch.
     pub revision: Revision,
     pub entries: Vec<Entry>,
 }
 
-/// A VM as the platform's lagging list shows it.
+/// A VM in the platform's VM list, which lags behind.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ListedVm {
@@ -69,15 +69,15 @@
     lease: u64,
 }
 
-/// How a settled write ended.
+/// Outcome of a write; a lost answer has been resolved by reading the key back.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Settled {
     Won(Revision),
-    /// Somebody else's value stands.
+    /// Another writer's value is stored.
     Lost(Option<Entry>),
-    /// Nothing took effect.
+    /// The write had no effect.
     Away,
-    /// It could not be told before the deadline.
+    /// The outcome was not known before the deadline.
     Unknown,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl Platform {
-    /// `address` is `host:port`; `timeout` bounds each read of an answer.
+    /// `address` is `host:port`; `timeout` applies to each read and write of a connection.
     pub fn new(address: &str, timeout: Duration) -> Platform {
         let agent = ureq::AgentBuilder::new()
             .timeout_connect(CONNECT_TIMEOUT)
@@ -127,7 +127,7 @@
         parse(self.agent.get(&url).call().map_err(read_error)?)
     }
 
-    /// Waits at most `wait` for a change under a prefix after a revision.
+    /// Waits up to `wait` for a change under a prefix after a revision.
     pub fn watch(&self, prefix: &str, after: Revision, wait: Duration) -> Result<Changes, Error> {
         let url = format!(
             "{}/watch?prefix={}&after={after}&wait_ms={}",
@@ -138,12 +138,12 @@
         parse(self.agent.get(&url).call().map_err(read_error)?)
     }
 
-    /// Writes a key if it stands at `expect`; 0 means that it must not exist.
+    /// Writes a key if its revision is `expect`; 0 means that the key must not exist.
     pub fn put(&self, key: &str, expect: Revision, value: &str) -> Answer {
         self.put_leased(key, expect, value, None)
     }
 
-    /// Like [`Platform::put`], for a key that goes away with a lease.
+    /// Like [`Platform::put`], for a key that is deleted when its lease ends.
     pub fn put_leased(
         &self,
         key: &str,
@@ -169,9 +169,10 @@
         }
     }
 
-    /// Writes a key and settles a lost answer by reading back, until `until` (monotonic).
+    /// Writes a key; when the answer is lost, reads the key back to learn the outcome, until
+    /// `until` (monotonic time).
     ///
-    /// `value` must hold a nonce, so that two writers never write the same bytes.
+    /// `value` must contain a nonce, so that no two writers write the same bytes.
     pub fn commit(&self, key: &str, expect: Revision, value: &str, until: Duration) -> Settled {
         let mut commit = Commit::new(expect);
         let mut found = None;
@@ -198,14 +199,14 @@
         }
     }
 
-    /// Asks for a lease.
+    /// Creates a lease.
     pub fn lease(&self, ttl: Duration) -> Result<u64, Error> {
         let url = format!("{}/lease?ttl_ms={}", self.base, ttl.as_millis());
         let granted: Granted = parse(self.agent.post(&url).call().map_err(read_error)?)?;
         Ok(granted.lease)
     }
 
-    /// Renews a lease; false when it has lapsed.
+    /// Renews a lease; false when it has expired.
     pub fn renew(&self, lease: u64) -> Result<bool, Error> {
         let url = format!("{}/lease/{lease}/renew", self.base);
         match self.agent.post(&url).call() {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Reads the lagging list of VMs.
+    /// Reads the VM list, which lags behind.
     pub fn vms(&self) -> Result<Vec<ListedVm>, Error> {
         parse(
             self.agent
--- a/src/store.rs
+++ b/src/store.rs
@@ -1,7 +1,7 @@
-//! The metadata store as the product sees it: reads, watches, leases and one conditional write.
+//! Client of the metadata store: reads, watches, leases and conditional transactions.
 //!
-//! A backend is one closure from a typed call to its reply, so that a deployment's client, a table
-//! in memory and a store that loses answers are all the same to the code above.
+//! A backend is one closure from a typed call to its reply, so that a deployment's client, an
+//! in-memory table and a store that loses answers are interchangeable.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -16,36 +16,36 @@
 use crate::decide::commit::{Answer, Commit, Step};
 use crate::id::Revision;
 
-/// A lease's number at the store; 0 stands for none.
+/// Id of a lease at the store; 0 means none.
 pub type LeaseId = u64;
 
-/// Pause that grows with each try while a lost answer is settled. A few answer times of a healthy
-/// store, so that a write on its way has landed before it is looked for again.
+/// Base of the pause, growing with each attempt, while a lost answer is resolved. A few round trips
+/// of a healthy store, so that a write in flight has landed before the key is read again.
 const SETTLE_PAUSE: Duration = Duration::from_millis(30);
 
-/// Why a call brought nothing.
+/// Why a call failed.
 #[derive(Debug, Snafu, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Error {
-    /// The store did nothing: it refused, or the connection never opened.
+    /// The call had no effect: it was refused, or the connection never opened.
     #[snafu(display("the store is away: {detail}"))]
     Away { detail: String },
-    /// The call may have taken effect, now or later.
+    /// The call may have taken effect, or may still do so.
     #[snafu(display("the store's answer was lost: {detail}"))]
     Unknown { detail: String },
-    /// The history after a watch's revision is no longer kept.
+    /// The history after a watch's revision has been compacted.
     #[snafu(display("the store has dropped this history"))]
     Compacted,
-    /// The lease has ended.
+    /// The lease has expired.
     #[snafu(display("the lease has ended"))]
     NoLease,
 }
 
-/// One key as it stands.
+/// A key with its current value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Item {
     pub key: String,
     pub value: Bytes,
-    /// Of its last change.
+    /// Revision of its last change.
     pub revision: Revision,
 }
 
@@ -64,7 +64,8 @@
     pub lease: LeaseId,
 }
 
-/// All or nothing: applies if each key of `expect` stands at its revision; 0 for "does not exist".
+/// An atomic transaction: applied only if each key of `expect` is at its revision (0: the key does
+/// not exist).
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Txn {
     pub expect: Vec<(String, Revision)>,
@@ -81,7 +82,7 @@
     },
     Range {
         prefix: String,
-        /// The last key of the page before.
+        /// The last key of the previous page.
         after: Option<String>,
     },
     Watch {
@@ -110,40 +111,41 @@
         at: Revision,
     },
     Committed(Revision),
-    /// A key of `expect` stands at another revision; the keys as they stand.
+    /// A key of `expect` is at another revision; the current state of the keys.
     Conflict(Vec<Item>),
     Granted(LeaseId),
     Done,
 }
 
-/// What a backend's closure returns.
+/// The future that a backend returns.
 pub type Pending = Pin<Box<dyn Future<Output = Result<Reply, Error>>>>;
 
-/// How a settled transaction ended.
+/// Outcome of a transaction; a lost answer has been resolved by reading a key back.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Settled {
     Won(Revision),
     /// Another value stands at the transaction's first key.
     Lost(Option<Item>),
-    /// Nothing took effect.
+    /// The transaction had no effect.
     Away(String),
-    /// It could not be told in time.
+    /// The outcome was not known in time.
     Unknown(String),
 }
 
-/// A call that has ended, for whoever observes them.
+/// A finished call, as reported to the observer.
 #[derive(Debug, Clone, Copy)]
 pub struct EndedCall {
     pub kind: &'static str,
-    /// A watch waits for long: when it was sent says nothing of the store.
+    /// Whether it was a watch. A watch may wait for long, so its `sent_at` says nothing about the
+    /// store.
     pub waited: bool,
     pub writes: bool,
-    /// Whether it brought an answer.
+    /// Whether the store answered.
     pub answered: bool,
     pub sent_at: Duration,
 }
 
-/// A store behind any backend.
+/// Client of a store with any backend.
 #[derive(Clone)]
 pub struct Store {
     backend: Rc<dyn Fn(Call) -> Pending>,
@@ -151,7 +153,7 @@
 }
 
 impl Store {
-    /// A store that is reached by `backend`.
+    /// Creates a client that sends its calls through `backend`.
     pub fn new(backend: impl Fn(Call) -> Pending + 'static) -> Store {
         Store {
             backend: Rc::new(backend),
@@ -159,7 +161,7 @@
         }
     }
 
-    /// The same store, with `observer` told of each call.
+    /// The same client, with `observer` called after each call.
     pub fn observed(self, observer: impl Fn(EndedCall) + 'static) -> Store {
         Store {
             observer: Rc::new(observer),
@@ -182,7 +184,7 @@
         reply
     }
 
-    /// Reads one key, in the order of all writes.
+    /// Reads one key; linearizable with all writes.
     pub async fn get(&self, key: &str) -> Result<Option<Item>, Error> {
         match self.call(Call::Get { key: key.into() }).await? {
             Reply::Item(item) => Ok(item),
@@ -190,10 +192,10 @@
         }
     }
 
-    /// Reads all keys under a prefix, with a revision to watch after.
+    /// Reads all keys under a prefix, with the revision to watch from.
     ///
-    /// Pages are not one snapshot; the revision is that of the first page, so that a watch tells
-    /// again whatever changed while the later ones were read.
+    /// The pages are not one snapshot. The revision is that of the first page, so that a watch
+    /// reports again what changed while later pages were read.
     pub async fn range(&self, prefix: &str) -> Result<(Vec<Item>, Revision), Error> {
         let mut found = Vec::new();
         let mut first_at = None;
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Makes a transaction once; `None` when a key stands at another revision than it expects.
+    /// Runs a transaction once; `None` when a key is not at the revision it expects.
     pub async fn try_commit(&self, txn: Txn) -> Result<Option<Revision>, Error> {
         match self.call(Call::Commit(txn)).await? {
             Reply::Committed(revision) => Ok(Some(revision)),
@@ -222,10 +224,11 @@
         }
     }
 
-    /// Makes a transaction and settles a lost answer by reading its first key back.
+    /// Runs a transaction; when the answer is lost, reads its first expected key back to learn the
+    /// outcome.
     ///
-    /// The first expected key must be written by the transaction, with a value that holds a nonce:
-    /// the same bytes read back can then only be this transaction's.
+    /// The transaction must write that key, with a value that contains a nonce: if the same bytes
+    /// are read back, this transaction was applied.
     pub async fn commit(&self, txn: Txn, timeout: Duration) -> Settled {
         let (key, expect) = match txn.expect.first() {
             Some((key, expect)) => (key.clone(), *expect),
