--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: the whole desired state.
+//! The operators' configuration: the complete desired state.
 
 pub mod check;
 pub mod diff;
@@ -10,7 +10,7 @@
 
 use crate::id::{ConfigVersion, Name, Nonce};
 
-/// The kinds of things declared, one file each.
+/// The kinds of declared objects, one file each.
 #[derive(
     Debug,
     Clone,
@@ -39,23 +39,23 @@
     Endpoints,
 }
 
-/// Whether an endpoint's orders are guarded by it.
+/// Whether a service's endpoints check the fencing number of orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fencing {
-    /// Endpoints refuse an order with an old fencing number.
+    /// Endpoints refuse an order with an outdated fencing number.
     Checked,
-    /// Endpoints take any order.
+    /// Endpoints accept any order.
     Ignored,
 }
 
-/// What stands behind a service.
+/// The kind of endpoints behind a service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ServiceKind {
     /// Model engines that stream tokens.
     Model,
-    /// Anything else that answers a call.
+    /// Any other service that answers single calls.
     Plain,
 }
 
@@ -65,23 +65,23 @@
 pub struct Service {
     pub name: Name,
     pub kind: ServiceKind,
-    /// Models that callers may name; of services of kind `model`.
+    /// Models that callers may name; only for services of kind `model`.
     #[serde(default)]
     pub models: Vec<Name>,
     pub fencing: Fencing,
-    /// Whether a call may be made twice.
+    /// Whether a call may be executed twice.
     pub idempotent: bool,
-    /// Deadline of an online request that names none.
+    /// Deadline of an online request that states none.
     pub deadline_ms: u64,
-    /// Time to first token that the concurrency limits aim at.
+    /// Target time to first token for the concurrency limits.
     pub first_token_ms: u64,
-    /// Requests that may wait at one VM.
+    /// Most requests that may wait at one VM.
     #[serde(default = "default_queue_limit")]
     pub queue_limit: u32,
-    /// Requests in flight from one VM.
+    /// Most requests in flight from one VM.
     #[serde(default = "default_max_in_flight")]
     pub max_in_flight: u32,
-    /// Concurrency assumed of an endpoint until it is learned.
+    /// Concurrency assumed for an endpoint until it has been learned.
     #[serde(default = "default_initial_limit")]
     pub initial_limit: u32,
     /// 0 favours batch throughput, 1 favours the tail latency of online requests.
@@ -110,12 +110,12 @@
 #[serde(deny_unknown_fields)]
 pub struct Model {
     pub name: Name,
-    /// Its place in the weight store.
+    /// Its location in the weight store.
     pub weights: String,
     pub bytes: u64,
 }
 
-/// An adapter on a model; callers name it like a model.
+/// An adapter for a model; callers name it like a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
@@ -124,7 +124,7 @@
     pub weights: String,
 }
 
-/// The version of a model that is to serve.
+/// The version of a model that should be served.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Version {
@@ -141,15 +141,15 @@
     pub key_digests: Vec<String>,
 }
 
-/// The part of a service that a workspace may count on when it is full.
+/// The part of a service's slots that a workspace is guaranteed when the service is full.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Share {
     pub workspace: Name,
     pub service: Name,
-    /// Of the online slots; all of a service add up to at most 1.
+    /// Fraction of the online slots; the shares of one service add up to at most 1.
     pub online_share: f64,
-    /// Of the batch slots.
+    /// Fraction of the batch slots; the shares of one service add up to at most 1.
     pub batch_share: f64,
 }
 
@@ -172,7 +172,7 @@
     pub address: Name,
 }
 
-/// The whole desired state.
+/// The complete desired state.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct State {
@@ -186,7 +186,7 @@
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One earlier version, so that a writer whose answer was lost finds its own.
+/// An earlier version. A writer whose answer was lost finds its own write here.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Ancestor {
     pub version: ConfigVersion,
@@ -195,14 +195,14 @@
     pub at_ms: u64,
 }
 
-/// The bodies of one kind, in order.
+/// Digests of the bodies of one kind, in order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Bodies {
     pub kind: Kind,
     pub digests: Vec<String>,
 }
 
-/// The one record that says which configuration is in force.
+/// The record that determines which configuration is in force.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     pub version: ConfigVersion,
@@ -210,7 +210,7 @@
     pub by: String,
     pub at_ms: u64,
     pub bodies: Vec<Bodies>,
-    /// The newest first, this one left out.
+    /// Earlier versions, newest first, without this one.
     pub ancestors: Vec<Ancestor>,
 }
 
@@ -222,7 +222,7 @@
 }
 
 impl State {
-    /// The service that a caller's model name asks for: of a model, of an adapter on one, or the
+    /// The service for a model name given by a caller: a model, an adapter of a model, or the
     /// service's own name.
     pub fn service_of_model(&self, name: &str) -> Option<&Service> {
         let base = self.adapters.iter().find(|adapter| *adapter.name == *name);
@@ -234,7 +234,7 @@
         self.services.iter().find(serves)
     }
 
-    /// The service of that name.
+    /// The service with that name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| *service.name == *name)
     }
--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -1,4 +1,4 @@
-//! Checks a configuration as a whole.
+//! Validates a configuration as a whole.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -9,7 +9,7 @@
 use super::{ServiceKind, State};
 use crate::id;
 
-/// One thing that is wrong.
+/// One invalid value.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Fault {
     pub file: String,
@@ -43,7 +43,7 @@
         });
     }
 
-    /// Names are hashed to ids: two that fall together would be taken for one thing.
+    /// Names are hashed to ids: two names with the same hash would be treated as one object.
     fn unique<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen: HashMap<u64, &str> = HashMap::new();
         for (at, name) in names.enumerate() {
@@ -84,7 +84,7 @@
     }
 }
 
-/// All faults of a state; none when it may be applied.
+/// Returns all faults of a state; empty when it may be applied.
 pub fn state(state: &State) -> Vec<Fault> {
     let mut faults = Faults(Vec::new());
     names(state, &mut faults);
@@ -100,7 +100,7 @@
     faults.unique("services", state.services.iter().map(|s| &*s.name));
     let models = state.models.iter().map(|m| &*m.name);
     faults.unique("models", models.clone());
-    // Callers name adapters like models, so the two share their names.
+    // Callers name adapters like models, so an adapter must not have a model's name.
     faults.unique("adapters", state.adapters.iter().map(|a| &*a.name));
     faults.unique("workspaces", state.workspaces.iter().map(|w| &*w.name));
     faults.unique(
--- a/src/config/diff.rs
+++ b/src/config/diff.rs
@@ -1,4 +1,4 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use super::State;
 
-/// How one thing differs.
+/// How an object differs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, IntoStaticStr)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
@@ -18,18 +18,18 @@
     Changed,
 }
 
-/// One thing that differs.
+/// One object that differs.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Difference {
     pub kind: String,
     pub name: String,
     pub change: Change,
-    /// Fields that differ, with the old and the new value.
+    /// The fields that differ, each with its old and new value.
     #[serde(skip_serializing_if = "BTreeMap::is_empty")]
     pub fields: BTreeMap<String, (Value, Value)>,
 }
 
-/// All that differs from `old` to `new`, in a fixed order.
+/// All differences from `old` to `new`, ordered by kind and name.
 pub fn states(old: &State, new: &State) -> Vec<Difference> {
     let (old, new) = (table(old), table(new));
     let mut out = Vec::new();
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -9,7 +9,7 @@
 use super::check::Fault;
 use super::{Kind, State};
 
-/// Reads a JSON file into a value; the error names the path within the file.
+/// Parses a JSON file; the error names the path within the file.
 pub fn parse<T: DeserializeOwned>(file: &str, content: &[u8]) -> Result<T, Fault> {
     let mut reader = serde_json::Deserializer::from_slice(content);
     let value = serde_path_to_error::deserialize(&mut reader).map_err(|error| Fault {
@@ -51,7 +51,7 @@
     })
 }
 
-/// Reads the whole folder; every fault is told, not only the first.
+/// Reads the whole folder and reports every fault, not only the first.
 pub fn folder(folder: &Path) -> Result<State, Vec<Fault>> {
     let mut faults = Vec::new();
     let state = State {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Files that are of no kind: a misspelt name would otherwise be left out without a word.
+/// Files that belong to no kind; a misspelt file name would otherwise be ignored silently.
 fn strangers(folder: &Path) -> Vec<Fault> {
     let known: Vec<String> = Kind::iter()
         .map(|kind| {
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -1,4 +1,4 @@
-//! The configuration in the platform's key-value service: one head, bodies by digest.
+//! The configuration in the platform's key-value service: one head record, and bodies by digest.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use crate::platform::{self, Platform, Settled};
 use crate::util;
 
-/// Key of the head; it lies under the watched prefix.
+/// Key of the head; it has the watched prefix.
 pub const HEAD_KEY: &str = "live/config";
-/// Prefix that the watchers watch: the head and the job records.
+/// Watched prefix: the head and the job records.
 pub const LIVE_PREFIX: &str = "live/";
-/// Bytes of one body; below the service's limit for a value.
+/// Largest body; below the service's limit for a value.
 pub const BODY_BYTES: usize = 900 * 1024;
-/// Earlier versions named in the head.
+/// Most earlier versions listed in the head.
 pub const ANCESTORS: usize = 64;
 
 /// Why a configuration could not be read or written.
@@ -33,23 +33,23 @@
     Head { source: serde_json::Error },
     #[snafu(display("one {kind} is larger than {BODY_BYTES} bytes"))]
     TooLarge { kind: &'static str },
-    /// Nothing took effect.
+    /// Nothing was applied.
     #[snafu(display("the platform is away; nothing was applied"))]
     Away,
-    /// It could not be told in time whether it took effect.
+    /// The outcome was not known in time.
     #[snafu(display("the platform's answer was lost; run `status` to see what is in force"))]
     Unknown,
 }
 
-/// How an apply ended.
+/// Outcome of an apply.
 #[derive(Debug)]
 pub enum Applied {
     Won(Head),
-    /// Another operator's version stands.
+    /// Another operator's version is in force.
     Lost(Option<Head>),
 }
 
-/// Cuts a state into bodies below the size limit.
+/// Splits a state into bodies below the size limit.
 pub fn bodies(state: &State) -> Result<(Vec<Bodies>, BTreeMap<String, String>), Error> {
     let mut list = Vec::new();
     let mut contents = BTreeMap::new();
@@ -89,7 +89,7 @@
     Ok((list, contents))
 }
 
-/// Puts bodies together again, checking each against its digest.
+/// Reassembles a state from its bodies, checking each against its digest.
 pub fn assemble(
     head: &Head,
     mut body: impl FnMut(&str) -> Result<String, Error>,
@@ -117,7 +117,7 @@
     format!("config/body/{digest}")
 }
 
-/// Reads a head from its text.
+/// Parses a head.
 pub fn parse_head(text: &str) -> Result<Head, Error> {
     serde_json::from_str(text).context(HeadSnafu)
 }
@@ -149,26 +149,26 @@
     Ok(Some((revision, Versioned { head, state })))
 }
 
-/// Writes a state in place of the head that it is based on, by one compare-and-swap.
+/// Replaces the head on which a state is based, by one compare-and-swap.
 pub fn apply(
     platform: &Platform,
     base: Option<(Revision, Head)>,
     state: &State,
     by: &str,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Applied, Error> {
-    let until = clock::now() + patience;
+    let until = clock::now() + timeout;
     let (bodies, contents) = bodies(state)?;
     let old: Vec<String> = base
         .iter()
         .flat_map(|(_, head)| head.bodies.iter().flat_map(|bodies| bodies.digests.clone()))
         .collect();
     for (digest, content) in contents.iter().filter(|(digest, _)| !old.contains(digest)) {
-        // Under its digest it is the same whoever writes it, so a loss is as good as a win.
+        // The key is the content's digest, so a body that another writer stored is the same.
         match platform.commit(&body_key(digest), 0, content, until) {
             Settled::Won(_) | Settled::Lost(_) => {}
             Settled::Away => return Err(Error::Away),
-            // The head was not touched yet.
+            // The head has not been written yet.
             Settled::Unknown => return Err(Error::Away),
         }
     }
@@ -199,7 +199,8 @@
         Settled::Won(_) => Ok(Applied::Won(head)),
         Settled::Lost(entry) => {
             let standing = entry.and_then(|entry| parse_head(&entry.value).ok());
-            // The answer was lost, and another operator has applied on top of ours since.
+            // The answer was lost, and another operator has since applied a version on top of this
+            // one.
             if standing
                 .as_ref()
                 .is_some_and(|s| is_ancestor(s, head.version, head.nonce))
@@ -213,7 +214,7 @@
     }
 }
 
-/// Whether a version with this nonce came before `head`.
+/// Whether `head` descends from the version with this nonce.
 pub fn is_ancestor(head: &Head, version: ConfigVersion, nonce: u64) -> bool {
     head.ancestors
         .iter()
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,4 +1,4 @@
-//! `bramleyctl`: the operators' command, one file a subcommand.
+//! `bramleyctl`: the operators' command, one module per subcommand.
 
 pub mod apply;
 pub mod config;
@@ -17,15 +17,15 @@
 
 use self::config::Config;
 
-/// Exit codes; each command's help names those it uses.
+/// Exit codes; each command's help lists those it uses.
 pub mod code {
-    /// Done, or nothing differs.
+    /// Success, or no difference.
     pub const OK: u8 = 0;
-    /// Something differs, or is not there yet.
+    /// There are differences, or the result is not complete yet.
     pub const DIFFERS: u8 = 1;
-    /// The arguments or the files are wrong.
+    /// The arguments or files are invalid.
     pub const USAGE: u8 = 2;
-    /// Another operator's version stands.
+    /// Another operator's version is in force.
     pub const LOST: u8 = 3;
     /// The platform or a process can't be reached; nothing took effect.
     pub const AWAY: u8 = 4;
@@ -33,7 +33,7 @@
     pub const UNKNOWN: u8 = 5;
 }
 
-/// Why a command ended: a line for people and an exit code.
+/// Why a command failed: a message and an exit code.
 #[derive(Debug)]
 pub struct Failure {
     pub code: u8,
@@ -41,7 +41,7 @@
 }
 
 impl Failure {
-    /// A failure with its code.
+    /// A failure with an exit code.
     pub fn new(code: u8, message: impl ToString) -> Failure {
         Failure {
             code,
@@ -50,10 +50,10 @@
     }
 }
 
-/// What a command returns.
+/// Result of a command: its exit code, or a failure.
 pub type Outcome = Result<u8, Failure>;
 
-/// The whole command line.
+/// The complete command line.
 pub fn command() -> Command {
     let platform = Arg::new("platform")
         .long("platform")
--- a/src/ctl/apply.rs
+++ b/src/ctl/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: puts a folder in force as a whole.
+//! `apply`: puts a configuration folder in force as a whole.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 const PATIENCE: Duration = Duration::from_secs(10);
 const LOOK: Duration = Duration::from_millis(100);
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("apply")
         .about("Puts a configuration folder in force as a whole")
@@ -99,7 +99,7 @@
     })
 }
 
-/// Waits until every process named has the version; returns those that have not, and why.
+/// Waits until all named processes have the version; returns those that don't, with the reason.
 fn wait(config: &Config<'_>, version: ConfigVersion) -> Result<Vec<String>, Failure> {
     let until = clock::now() + config.seconds("wait-s");
     let mut missing = config.some_entries()?;
@@ -134,7 +134,7 @@
     Ok(dump["vm"]["config"].as_u64().unwrap_or(0))
 }
 
-/// Tells the loser of a race what stands, and how it differs from what it wanted.
+/// Reports which version is in force and how the wanted state differs from it.
 fn lost(
     config: &Config<'_>,
     platform: &Platform,
--- a/src/ctl/config.rs
+++ b/src/ctl/config.rs
@@ -1,4 +1,4 @@
-//! Turns arguments into what the commands read from and write to.
+//! Access to the command's arguments, the platform and the processes.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -41,7 +41,7 @@
         self.matches.get_one::<String>(name).map(String::as_str)
     }
 
-    /// A number of seconds.
+    /// An argument in seconds.
     pub fn seconds(&self, name: &str) -> Duration {
         Duration::from_secs(
             self.matches
@@ -51,7 +51,7 @@
         )
     }
 
-    /// The platform to speak with.
+    /// The platform's client; its address is required.
     pub fn platform(&self) -> Result<Platform, Failure> {
         let address = self.text("platform").ok_or_else(|| {
             Failure::new(
@@ -65,14 +65,14 @@
         ))
     }
 
-    /// The platform, where one was named: a deployment with an adapter has another store, and its
-    /// processes tell what stands there.
+    /// The platform's client, if an address was given. A deployment with an adapter has another
+    /// store, and its processes report what is in force.
     pub fn some_platform(&self) -> Option<Platform> {
         self.text("platform")?;
         self.platform().ok()
     }
 
-    /// The state in the folder that was named; its faults are printed.
+    /// Loads the state from the given folder and prints its faults.
     pub fn state(&self) -> Result<State, Failure> {
         let folder = PathBuf::from(self.text("folder").unwrap_or_default());
         load::folder(&folder).map_err(|faults| {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// The operators' addresses that were named.
+    /// The operators' addresses given by `--entry`.
     pub fn entries(&self) -> Vec<String> {
         let named = self
             .matches
@@ -100,7 +100,7 @@
             .collect()
     }
 
-    /// Like [`Config::entries`]; at least one is needed.
+    /// Like [`Config::entries`], but at least one is required.
     pub fn some_entries(&self) -> Result<Vec<String>, Failure> {
         let entries = self.entries();
         match entries.is_empty() {
@@ -122,7 +122,8 @@
     call(address, "GET", path)
 }
 
-/// The rows of a page of all processes that were named, printed as JSON or one by one by `show`, which gets the VM's name too.
+/// Reads a page of each given process and returns its rows, printed as JSON or one by one by
+/// `show`, which also gets the VM's name.
 pub fn rows(
     config: &Config<'_>,
     path: &str,
@@ -146,12 +147,12 @@
     Ok(all)
 }
 
-/// A value as people read it: text without quotes.
+/// A value for display: strings without quotes.
 pub fn text(value: &Value) -> String {
     value.as_str().map_or(value.to_string(), str::to_owned)
 }
 
-/// Has a process do something.
+/// Sends a command to a process.
 pub fn send(address: &str, path: &str) -> Result<Value, Failure> {
     call(address, "POST", path)
 }
--- a/src/ctl/diff.rs
+++ b/src/ctl/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: what a folder would change.
+//! `diff`: what applying a folder would change.
 
 use clap::{Arg, Command};
 
@@ -7,7 +7,7 @@
 use crate::config::diff::{states, Difference};
 use crate::config::{store, State};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("diff")
         .about("Shows what a configuration folder would change")
@@ -37,7 +37,7 @@
     })
 }
 
-/// Prints differences, a line each.
+/// Prints differences, one per line.
 pub fn show(differences: &[Difference]) {
     if differences.is_empty() {
         println!("no difference");
--- a/src/ctl/dump.rs
+++ b/src/ctl/dump.rs
@@ -1,11 +1,11 @@
-//! `dump`: the tables of a process.
+//! `dump`: the state of processes as JSON.
 
 use clap::Command;
 
 use super::config::{page, print, Config};
 use super::{code, Outcome};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("dump")
         .about("Prints the state of each process as JSON")
--- a/src/ctl/jobs.rs
+++ b/src/ctl/jobs.rs
@@ -1,4 +1,4 @@
-//! `jobs`: the batch jobs and how far they are.
+//! `jobs`: batch jobs and their progress.
 
 use clap::{Arg, ArgAction, Command};
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use super::{code, Failure, Outcome};
 use crate::decide::jobs::{ChunkRecord, JobRecord};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("jobs")
         .about("Lists batch jobs with their counts: those at the platform, or those that processes know")
@@ -60,7 +60,7 @@
     Ok(code::OK)
 }
 
-/// The jobs as processes of a deployment with an adapter know them: the first that answers.
+/// Lists the jobs reported by the first process that answers, in a deployment with an adapter.
 fn of_processes(config: &Config<'_>) -> Outcome {
     let mut last = None;
     for address in config.some_entries()? {
--- a/src/ctl/key.rs
+++ b/src/ctl/key.rs
@@ -1,4 +1,4 @@
-//! `key`: the digest of a workspace's key, for `workspaces.json`.
+//! `key`: the digest of a workspace's API key, for `workspaces.json`.
 
 use clap::{Arg, Command};
 
@@ -6,7 +6,7 @@
 use super::{code, Outcome};
 use crate::id;
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("key")
         .about("Prints the digest of a key, as it goes into workspaces.json")
--- a/src/ctl/quarantine.rs
+++ b/src/ctl/quarantine.rs
@@ -1,4 +1,4 @@
-//! `quarantine`: requests that end their endpoints, and their release.
+//! `quarantine`: lists and releases requests during which endpoints ended.
 
 use clap::{Arg, Command};
 use serde_json::Value;
@@ -7,7 +7,7 @@
 use super::{code, Failure, Outcome};
 use crate::decide::quarantine::Fingerprint;
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     let release = Arg::new("release")
         .long("release")
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -1,4 +1,4 @@
-//! `status`: which version is in force, and where.
+//! `status`: the version in force and the state of each process.
 
 use clap::Command;
 use serde_json::{json, Value};
@@ -7,7 +7,7 @@
 use super::{code, Outcome};
 use crate::config::store;
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("status")
         .about("Shows the version that stands and each process's state")
@@ -16,7 +16,7 @@
 
 /// Runs the command.
 pub fn run(config: &Config<'_>) -> Outcome {
-    // Without the platform the processes still tell what they have.
+    // Without the platform, the version is taken from the processes.
     let head = config.some_platform().map(|platform| {
         let found = store::read_head(&platform);
         found.map(|found| found.map(|(_, head)| head.version))
@@ -32,7 +32,7 @@
     let version = match &head {
         Some(Ok(version)) => *version,
         Some(Err(_)) => None,
-        // The newest that a process has; one that is behind differs from it.
+        // The newest version of any process; a process with an older one differs from it.
         None => told,
     };
     let fine = |row: &Value| {
@@ -81,7 +81,7 @@
             "name": dump["vm"],
             "version": dump["rules"],
             "ready": dump["ready"],
-            // Itself is one.
+            // The process counts itself.
             "members_alive": dump["living_vms"].as_u64().unwrap_or(0) + 1,
         }),
         Ok(dump) => {
--- a/src/ctl/validate.rs
+++ b/src/ctl/validate.rs
@@ -6,7 +6,7 @@
 use super::config::{print, Config};
 use super::{code, Outcome};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("validate")
         .about("Checks a configuration folder as a whole")
--- a/src/ctl/why.rs
+++ b/src/ctl/why.rs
@@ -1,4 +1,4 @@
-//! `why`: what waits, and for what.
+//! `why`: what is waiting, and for what.
 
 use clap::Command;
 use serde_json::Value;
@@ -6,7 +6,7 @@
 use super::config::{rows, text, Config};
 use super::{code, Outcome};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("why")
         .about("Shows what waits at each process, and for what")
