--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -74,8 +74,8 @@
 
 /// Processor time used by this process.
 pub fn processor_time() -> Duration {
-    // utime and stime, fields 14 and 15 of the file, are fields 11 and 12 after the name; the unit
-    // is 10 ms.
+    // utime and stime, fields 14 and 15 of the file in units of 10 ms, have the indices 11 and 12
+    // after the name.
     let text = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let after = text.rsplit(')').next().unwrap_or_default();
     let field = |at: usize| -> u64 {
