--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -1,5 +1,5 @@
-//! Configuration: checked whole, applied whole, never back, through real processes and the
-//! operators' command.
+//! Configuration, tested with real processes and `bramleyctl`: it is validated and applied as a
+//! whole, and a process never returns to an older version.
 
 use std::fs;
 use std::path::Path;
@@ -13,7 +13,7 @@
 use serde_json::{json, Value};
 use strum::IntoEnumIterator;
 
-const PATIENCE: Duration = Duration::from_secs(10);
+const IN_FORCE_TIMEOUT: Duration = Duration::from_secs(10);
 
 fn ctl(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_bramleyctl"))
@@ -48,8 +48,8 @@
     }
 }
 
-// A folder with several faults is refused whole: each fault is named with file, path, what was
-// found and what is allowed, and nothing of the folder takes effect.
+// A folder with several faults is refused as a whole: each fault is reported with file, path, the
+// value found and the allowed values, and nothing of the folder takes effect.
 #[test]
 fn faults_named() {
     let fleet = Fleet::start("faults", &plan()).unwrap();
@@ -66,13 +66,13 @@
     });
     let output = ctl(&["apply", "--platform", &platform, folder.to_str().unwrap()]);
     assert_eq!(output.status.code(), Some(2));
-    let said = text(&output);
+    let printed = text(&output);
     for fault in [
         "services.json: $[0].online_weight: found 7; allowed: 0 to 1",
         "endpoints.json: $[0].service: found \"nobody\"; allowed: a name from services.json",
         "a sum of 1.400 for \"permit-desk\"; allowed: at most 1",
     ] {
-        assert!(said.contains(fault), "{said}");
+        assert!(printed.contains(fault), "{printed}");
     }
     change(&folder, "services", |rows| rows[0]["colour"] = json!("red"));
     let output = ctl(&["validate", folder.to_str().unwrap()]);
@@ -84,8 +84,8 @@
     assert_eq!(version(&fleet, 0), 1);
 }
 
-// Two operators apply different folders made from the same version. One wins; the other one is told
-// which version stands, by whom, and what its folder would change against it.
+// Two operators apply different folders based on the same version. One succeeds; the other one's
+// output names the version in force, who applied it, and what its folder would change.
 #[test]
 fn racing_operators() {
     let fleet = Fleet::start("racing", &plan()).unwrap();
@@ -142,8 +142,8 @@
     assert!(lost.contains("queue_limit: 10"), "{lost}");
 }
 
-// The platform's answer to the head's write is lost. The operator is told that it was applied,
-// since its own nonce is found in the record.
+// The platform's answer to the write of the head is lost. The command still reports success,
+// because it finds its own nonce in the record.
 #[test]
 fn lost_apply() {
     let fleet = Fleet::start("lost-apply", &plan()).unwrap();
@@ -171,31 +171,34 @@
     assert!((0..4).all(|entry| version(&fleet, entry) == 2));
 }
 
-// A version is applied while one failure domain is cut off from the platform: it gets it from the
-// other one. Then the platform goes away, and a VM is restarted with nothing. It is not ready until
-// it has what its peers hold, and never has less.
+// A version is applied while one failure domain is cut off from the platform: it receives the
+// version from the other one. Then the platform fails and VMs restart without data. They become
+// ready only with the version that their peers have, and never with an older one.
 #[test]
 fn never_back() {
     let mut fleet = Fleet::start("never-back", &plan()).unwrap();
     let folder = fleet.folder.join("config");
     fleet.links[1].cut(true);
     fleet.apply(&folder).unwrap();
-    let until = clock::now() + PATIENCE;
+    let until = clock::now() + IN_FORCE_TIMEOUT;
     while (0..4).any(|entry| version(&fleet, entry) < 2) {
         assert!(clock::now() < until, "version 2 is not in force everywhere");
         clock::sleep(Duration::from_millis(50));
     }
     fleet.platform_process().control(json!({ "outage": true }));
-    let own = fleet.folder.clone();
+    let fleet_folder = fleet.folder.clone();
     for entry in [0, 3] {
         fleet.entries[entry].kill();
-        fleet.entries[entry].restart(&own).unwrap();
-        let until = clock::now() + PATIENCE;
+        fleet.entries[entry].restart(&fleet_folder).unwrap();
+        let until = clock::now() + IN_FORCE_TIMEOUT;
         loop {
             let dump = fleet.entries[entry].page("/dump");
             let ready = dump["ready"].get("Ok").is_some();
-            let there = dump["vm"]["config"].as_u64().unwrap_or(0);
-            assert!(!ready || there == 2, "ready with version {there}");
+            let running_version = dump["vm"]["config"].as_u64().unwrap_or(0);
+            assert!(
+                !ready || running_version == 2,
+                "ready with version {running_version}"
+            );
             if ready {
                 break;
             }
@@ -206,15 +209,15 @@
     fleet.platform_process().control(json!({}));
     fleet.links[1].cut(false);
     assert_eq!(fleet.apply(&folder).unwrap(), 3);
-    let until = clock::now() + PATIENCE;
+    let until = clock::now() + IN_FORCE_TIMEOUT;
     while (0..4).any(|entry| version(&fleet, entry) < 3) {
         assert!(clock::now() < until, "version 3 is not in force everywhere");
         clock::sleep(Duration::from_millis(50));
     }
 }
 
-// Four VMs a failure domain are at rest. Only two of them wait on the platform, and their reads
-// stay at one a second, whatever the number of VMs.
+// Four VMs in one failure domain are idle. Only two of them watch the platform, and the total reads
+// stay at one per second, whatever the number of VMs.
 #[test]
 fn calls_at_rest() {
     let fleet = Fleet::start(
@@ -226,7 +229,7 @@
         },
     )
     .unwrap();
-    // A VM that was a delegate while the others were unknown ends its last watch.
+    // Waits until the last watch has ended of a VM that was a delegate before it knew the others.
     clock::sleep(Duration::from_secs(11));
     let post = |path| {
         bramleyseam::standin::fleet::call(fleet.platform, "POST", path, "", &[], b"").unwrap()
@@ -236,7 +239,7 @@
     let calls = fleet.platform_process().stats();
     assert!(calls["waiting"].as_u64().unwrap() <= 2, "{calls}");
     assert!(calls["reads"].as_u64().unwrap() <= 7, "{calls}");
-    // The lease of orders is renewed every two seconds, by one VM.
+    // One VM renews the lease of orders every two seconds.
     assert!(calls["writes"].as_u64().unwrap() <= 4, "{calls}");
 }
 
@@ -254,8 +257,8 @@
 }
 
 quickcheck! {
-    // However large a state is, its bodies stay below the limit and give the same state again; a
-    // body that was changed on the way is noticed.
+    // The bodies of a state of any size stay below the limit and reassemble to the same state; a
+    // modified body is detected.
     fn bodies_whole(size: u16) -> bool {
         let state = state(size % 20_000);
         let (bodies, mut contents) = store::bodies(&state).unwrap();
@@ -274,7 +277,7 @@
     }
 }
 
-// A file with a misspelt name is not left out without a word.
+// A misspelt file name is reported and not ignored silently.
 #[test]
 fn stranger_file() {
     let folder = std::env::temp_dir().join(format!("bramley-stranger-{}", std::process::id()));
--- a/tests/failure_domains.rs
+++ b/tests/failure_domains.rs
@@ -1,4 +1,4 @@
-//! Failure domains that lose their endpoints, or are cut off from the platform.
+//! Failure domains that lose their endpoints or are cut off from the platform.
 
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
     }
 }
 
-/// Waits until something holds.
-fn until(what: &str, patience: Duration, holds: impl Fn() -> bool) {
-    let end = clock::now() + patience;
+/// Waits until a condition holds.
+fn wait_until(what: &str, timeout: Duration, holds: impl Fn() -> bool) {
+    let deadline = clock::now() + timeout;
     while !holds() {
-        assert!(clock::now() < end, "{what}");
+        assert!(clock::now() < deadline, "{what}");
         clock::sleep(Duration::from_millis(30));
     }
 }
@@ -30,8 +30,8 @@
     dump["jobs"].as_array().cloned().unwrap_or_default()
 }
 
-// A failure domain loses its only engine. Its callers are served by the other failure domain's, and
-// by its own again when that is back, without an operator.
+// A failure domain has a single engine, which first leaves and then dies. Its callers are served by
+// the other failure domain's engine, without an operator's action.
 #[test]
 fn spill_over() {
     let mut fleet = Fleet::start("spill-over", &plan()).unwrap();
@@ -64,9 +64,9 @@
     }
 }
 
-// A failure domain is cut off from the platform. It goes on answering online requests and says
-// truly what it can't take. It hears of jobs, and of their cancellation within a second of the
-// acknowledgement, from the other failure domain; and it catches up when the cut is healed.
+// A failure domain is cut off from the platform. It continues to answer online requests and refuses
+// files as not run. It learns of jobs from the other failure domain, and of a cancellation within
+// one second of its acknowledgement; once the link is restored it accepts files again.
 #[test]
 fn platform_cut() {
     let fleet = Fleet::start("platform-cut", &plan()).unwrap();
@@ -89,7 +89,7 @@
             .iter()
             .any(|row| row["id"] == job.as_str())
     };
-    until("the job is known", Duration::from_secs(5), || {
+    wait_until("the job is known", Duration::from_secs(5), || {
         known(2) && known(3)
     });
     let answer = fleet
@@ -101,17 +101,17 @@
         let row = rows.iter().find(|row| row["id"] == job.as_str());
         row.is_none_or(|row| row["state"] != "in_progress")
     };
-    until("the cancellation is known", Duration::from_secs(1), || {
+    wait_until("the cancellation is known", Duration::from_secs(1), || {
         cancelled(2) && cancelled(3)
     });
     fleet.links[1].cut(false);
-    until("files are taken again", Duration::from_secs(5), || {
+    wait_until("files are taken again", Duration::from_secs(5), || {
         fleet
             .ask(2, "POST", "/v1/files", &chat_lines(1, 1))
             .unwrap()
             .status
             == 200
     });
-    let shown = fleet.wait_job(2, &job, Duration::from_secs(40));
-    assert_eq!(shown["status"], "cancelled", "{shown}");
+    let batch = fleet.wait_job(2, &job, Duration::from_secs(40));
+    assert_eq!(batch["status"], "cancelled", "{batch}");
 }
--- a/tests/given_up_bytes.rs
+++ b/tests/given_up_bytes.rs
@@ -1,4 +1,4 @@
-//! What becomes of a request's bytes when its connection is given up.
+//! What happens to a request's bytes when its connection is dropped.
 
 use std::io::{ErrorKind, Read};
 use std::net::TcpListener;
@@ -10,9 +10,10 @@
 use tokio::runtime::Builder;
 use tokio::task::LocalSet;
 
-// An applicant is answered by a second engine, since the way to the first one is cut. When it is back, the engine gets
-// the request all the same, 3 s after it said that it leaves: the connection was closed in good order, and the
-// kernel went on sending. A connection that is given up is reset, so that nothing of it is sent any more.
+// The path to an engine is cut, so a request is answered by a second engine. With a graceful close
+// the kernel keeps sending: once the path is restored, the first engine receives the request too, 3
+// s after it announced that it leaves. A dropped connection must be reset, so that none of its data
+// is sent any more.
 #[test]
 fn reset_when_dropped() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -22,11 +23,11 @@
         let mut connection = Connection::open(&address).await.unwrap();
         let request = Request::new(Full::new(Bytes::from_static(b"a question")));
         let sent = connection.send(request);
-        // The engine takes the connection and says nothing.
+        // The engine accepts the connection and sends nothing.
         let given_up = tokio::time::timeout(std::time::Duration::from_millis(200), sent).await;
         assert!(given_up.is_err());
         drop(connection);
-        // The task that holds the socket ends at its next turn.
+        // The task that holds the socket ends when it is next polled.
         tokio::task::yield_now().await;
     });
     drop(runtime);
--- a/tests/hostile_input.rs
+++ b/tests/hostile_input.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Sends bytes as they are; what comes back until the connection is closed.
+/// Sends bytes as they are; returns what is received until the connection is closed.
 fn raw(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).unwrap();
     stream
@@ -87,9 +87,9 @@
     assert_eq!(fine.status, 200);
 }
 
-// Callers open connections, send half a head and wait, until all places are taken. Further callers
-// are refused at once with a time to come back, and the half-sent ones are dropped when their time
-// is up: the next caller is served.
+// Callers open connections, send half a head and wait, until the connection limit is reached.
+// Further callers are refused at once with `Retry-After`, and the slow connections are closed after
+// the head timeout: the next caller is served.
 #[test]
 fn slow_callers() {
     let fleet = Fleet::start("slow-callers", &plan()).unwrap();
@@ -114,8 +114,7 @@
     drop(slow);
 }
 
-// Datagrams of all kinds arrive from anywhere: none is taken, counted as refused, and the process
-// goes on.
+// Invalid datagrams of several kinds are all rejected and counted as refused.
 #[test]
 fn strange_datagrams() {
     let fleet = Fleet::start("datagrams", &plan()).unwrap();
@@ -146,7 +145,7 @@
 }
 
 quickcheck! {
-    // No bytes make a decoder panic or take memory that was only announced.
+    // No input makes a decoder panic or allocate memory for a length that is only announced.
     fn codecs_hold(bytes: Vec<u8>) -> bool {
         let _ = decode::<Datagram>(&bytes);
         let _ = decode::<PeerAsk>(&bytes);
@@ -158,7 +157,7 @@
         read_frame::<PeerAsk>(&mut &bytes[..], &key).is_err()
     }
 
-    // A message that was changed in any place is not taken.
+    // A message with any modified byte is rejected.
     fn changed_refused(at: usize, by: u8, batch: u64) -> bool {
         let key = Key::new("a secret for tests");
         let message = ToBatch::Crew(BatchPeers { own: batch, ..BatchPeers::default() });
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -1,4 +1,4 @@
-//! Endpoints from which nothing comes any more, and tries that broke off.
+//! Endpoints that stop sending, and failed attempts.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -22,13 +22,13 @@
     Duration::from_millis(count)
 }
 
-struct World {
+struct Simulation {
     online: Online,
     now: Duration,
 }
 
-impl World {
-    fn new(endpoints: usize) -> World {
+impl Simulation {
+    fn new(endpoints: usize) -> Simulation {
         let mut online = Online::new(1, SmallRng::seed_from_u64(1));
         online.watch_silence = true;
         online
@@ -43,9 +43,9 @@
         };
         online.services.insert(SERVICE, service);
         let now = ms(1_000);
-        let mut world = World { online, now };
-        world.tick();
-        world
+        let mut simulation = Simulation { online, now };
+        simulation.tick();
+        simulation
     }
 
     fn arrive(&mut self, request: u64, idempotent: bool, attempts_max: u32) -> Vec<Action> {
@@ -83,13 +83,13 @@
         out
     }
 
-    /// Ticks for a time; `heard` sends something all the while.
-    fn pass(&mut self, time: Duration, heard: Option<EndpointId>) -> Vec<Action> {
+    /// Ticks for `time`; the endpoint `active` sends something throughout.
+    fn run_for(&mut self, time: Duration, active: Option<EndpointId>) -> Vec<Action> {
         let until = self.now + time;
         let mut out = Vec::new();
         while self.now < until {
             self.now += TICK;
-            if let Some(row) = heard.and_then(|id| self.online.endpoints.get_mut(id)) {
+            if let Some(row) = active.and_then(|id| self.online.endpoints.get_mut(id)) {
                 row.last_received_at = self.now;
             }
             out.extend(self.tick());
@@ -105,171 +105,178 @@
     })
 }
 
-fn gave_up(actions: &[Action]) -> Vec<u64> {
-    let given = |action: &Action| match action {
+fn given_up(actions: &[Action]) -> Vec<u64> {
+    let id_of = |action: &Action| match action {
         Action::GiveUp { request } => Some(*request),
         _ => None,
     };
-    actions.iter().filter_map(given).collect()
+    actions.iter().filter_map(id_of).collect()
 }
 
-// An applicant waits until the deadline. The engine's machine loses power, nothing resets the
-// connection, and no byte ever comes. Silence on all its connections gives the engine away, and the
-// request goes elsewhere within half a second.
+// An engine's machine loses power: nothing resets the connection, and without detection the caller
+// would wait until its deadline. Silence on all connections to the engine gives it up, and the
+// request is sent to another engine within half a second.
 #[test]
 fn dark_engine() {
-    let mut world = World::new(2);
-    let first = sent_to(&world.arrive(1, true, 2)).unwrap();
-    let actions = world.pass(SILENCE + TICK, None);
-    assert_eq!(gave_up(&actions), [1]);
-    let again = sent_to(&world.failed(1, AttemptStage::MaybeSent)).unwrap();
+    let mut simulation = Simulation::new(2);
+    let first = sent_to(&simulation.arrive(1, true, 2)).unwrap();
+    let actions = simulation.run_for(SILENCE + TICK, None);
+    assert_eq!(given_up(&actions), [1]);
+    let again = sent_to(&simulation.failed(1, AttemptStage::MaybeSent)).unwrap();
     assert_ne!(first, again);
 }
 
-// A stream stops in its middle for the same cause; its caller gets the rest from another engine.
+// The same during a stream; the caller gets the rest from another engine.
 #[test]
 fn dark_in_stream() {
-    let mut world = World::new(2);
-    let first = sent_to(&world.arrive(1, true, 2)).unwrap();
-    world.event(Event::FirstToken { request: 1 });
-    world.pass(ms(500), Some(first));
-    let actions = world.pass(SILENCE + TICK, None);
-    assert_eq!(gave_up(&actions), [1]);
-    assert!(sent_to(&world.failed(1, AttemptStage::Answering)).is_some());
+    let mut simulation = Simulation::new(2);
+    let first = sent_to(&simulation.arrive(1, true, 2)).unwrap();
+    simulation.event(Event::FirstToken { request: 1 });
+    simulation.run_for(ms(500), Some(first));
+    let actions = simulation.run_for(SILENCE + TICK, None);
+    assert_eq!(given_up(&actions), [1]);
+    assert!(sent_to(&simulation.failed(1, AttemptStage::Answering)).is_some());
 }
 
-// A stream stops in its middle and its caller waits until the deadline. Its connection has gone silent for good, while
-// other requests at the same engine go on, so that the engine does not look dead. The stream goes on elsewhere; one that
-// still gets events stays.
+// One connection goes permanently silent in the middle of a stream, while other requests at the
+// same engine continue, so that the engine does not look dead. Without detection the caller would
+// wait until its deadline. The silent stream resumes elsewhere; the one that still gets events
+// stays.
 #[test]
 fn silent_in_stream() {
-    let mut world = World::new(1);
-    let endpoint = sent_to(&world.arrive(1, true, 2)).unwrap();
-    world.arrive(2, true, 2);
-    world.event(Event::FirstToken { request: 1 });
-    world.event(Event::FirstToken { request: 2 });
-    let mut given = Vec::new();
+    let mut simulation = Simulation::new(1);
+    let endpoint = sent_to(&simulation.arrive(1, true, 2)).unwrap();
+    simulation.arrive(2, true, 2);
+    simulation.event(Event::FirstToken { request: 1 });
+    simulation.event(Event::FirstToken { request: 2 });
+    let mut given_up_ids = Vec::new();
     for _ in 0..3 {
-        world.online.note_response(world.now, 2);
-        given.extend(gave_up(&world.pass(ANSWER_SILENCE / 2, Some(endpoint))));
+        simulation.online.note_response(simulation.now, 2);
+        given_up_ids.extend(given_up(
+            &simulation.run_for(ANSWER_SILENCE / 2, Some(endpoint)),
+        ));
     }
-    assert_eq!(given, [1]);
+    assert_eq!(given_up_ids, [1]);
 }
 
-// A caller waits until the deadline for an answer that never begins: the request went out on a connection that had been
-// kept and had gone silent. The engine has free slots and answers others.
+// The request was sent on a reused connection that had gone silent, so its answer never starts. The
+// engine has free slots and answers others. Without detection the caller would wait until its
+// deadline.
 #[test]
 fn silent_from_start() {
-    let mut world = World::new(2);
-    let endpoint = sent_to(&world.arrive(1, true, 2)).unwrap();
-    let actions = world.pass(SILENCE_CROWDED + TICK, Some(endpoint));
-    assert_eq!(gave_up(&actions), [1]);
+    let mut simulation = Simulation::new(2);
+    let endpoint = sent_to(&simulation.arrive(1, true, 2)).unwrap();
+    let actions = simulation.run_for(SILENCE_CROWDED + TICK, Some(endpoint));
+    assert_eq!(given_up(&actions), [1]);
 }
 
-// A caller waits until the deadline for the rest of a stream. Its engine left, its entry is gone, and then it died; silence
-// was only looked for at engines whose entries stand.
+// An engine leaves, its registration is removed, and then it dies in the middle of a stream.
+// Silence must also be detected at engines that are no longer registered; otherwise the caller
+// waits until its deadline.
 #[test]
 fn gone_in_stream() {
-    let mut world = World::new(2);
-    let first = sent_to(&world.arrive(1, true, 2)).unwrap();
-    world.event(Event::FirstToken { request: 1 });
-    let mut left: Vec<_> = declared(2, SERVICE, SLOTS, |_| 1).collect();
-    left.retain(|(id, _)| *id != first);
-    world.online.endpoints.configure(left);
-    let actions = world.pass(ANSWER_SILENCE + TICK, None);
-    assert_eq!(gave_up(&actions), [1]);
-    assert!(sent_to(&world.failed(1, AttemptStage::Answering)).is_some());
+    let mut simulation = Simulation::new(2);
+    let first = sent_to(&simulation.arrive(1, true, 2)).unwrap();
+    simulation.event(Event::FirstToken { request: 1 });
+    let mut remaining: Vec<_> = declared(2, SERVICE, SLOTS, |_| 1).collect();
+    remaining.retain(|(id, _)| *id != first);
+    simulation.online.endpoints.configure(remaining);
+    let actions = simulation.run_for(ANSWER_SILENCE + TICK, None);
+    assert_eq!(given_up(&actions), [1]);
+    assert!(sent_to(&simulation.failed(1, AttemptStage::Answering)).is_some());
 }
 
-// A renewal would be filed twice. It may not be repeated, so nobody gives it up: the answer may come.
+// A request that may not be repeated is never given up: it could run twice, and the answer may
+// still come.
 #[test]
 fn unrepeatable_waits() {
-    let mut world = World::new(2);
-    world.arrive(1, false, 1);
-    assert!(gave_up(&world.pass(ms(4_000), None)).is_empty());
+    let mut simulation = Simulation::new(2);
+    simulation.arrive(1, false, 1);
+    assert!(given_up(&simulation.run_for(ms(4_000), None)).is_empty());
 }
 
-// The same when its stream has begun: it can't go on elsewhere, and its engine may yet.
+// The same once its stream has started: it can't resume elsewhere, and the engine may still
+// continue it.
 #[test]
 fn unrepeatable_in_stream() {
-    let mut world = World::new(2);
-    world.arrive(1, false, 2);
-    world.event(Event::FirstToken { request: 1 });
-    assert!(gave_up(&world.pass(ms(4_000), None)).is_empty());
+    let mut simulation = Simulation::new(2);
+    simulation.arrive(1, false, 2);
+    simulation.event(Event::FirstToken { request: 1 });
+    assert!(given_up(&simulation.run_for(ms(4_000), None)).is_empty());
 }
 
-// Requests in the queue of a busy engine hear nothing for long, while its other requests are other
-// VMs'. That is no sign of its death.
+// Requests in the queue of a busy engine receive nothing for long while its slots run requests of
+// other VMs. That does not show that the engine is dead.
 #[test]
 fn busy_is_not_dark() {
-    let mut world = World::new(1);
-    let endpoint = sent_to(&world.arrive(1, true, 2)).unwrap();
-    world
+    let mut simulation = Simulation::new(1);
+    let endpoint = sent_to(&simulation.arrive(1, true, 2)).unwrap();
+    simulation
         .online
         .endpoints
         .get_mut(endpoint)
         .unwrap()
         .online_elsewhere = SLOTS as u32;
-    assert!(gave_up(&world.pass(SILENCE * 2, None)).is_empty());
-    assert_eq!(gave_up(&world.pass(SILENCE_CROWDED, None)), [1]);
+    assert!(given_up(&simulation.run_for(SILENCE * 2, None)).is_empty());
+    assert_eq!(given_up(&simulation.run_for(SILENCE_CROWDED, None)), [1]);
 }
 
-// This process was paused for seconds and finds all engines silent. The silence was its own.
+// This process was paused for seconds and finds all engines silent; the silence is its own.
 #[test]
 fn own_pause() {
-    let mut world = World::new(1);
-    world.arrive(1, true, 2);
-    world.now += ms(3_000);
-    assert!(gave_up(&world.tick()).is_empty());
-    assert!(gave_up(&world.pass(SILENCE - TICK, None)).is_empty());
+    let mut simulation = Simulation::new(1);
+    simulation.arrive(1, true, 2);
+    simulation.now += ms(3_000);
+    assert!(given_up(&simulation.tick()).is_empty());
+    assert!(given_up(&simulation.run_for(SILENCE - TICK, None)).is_empty());
 }
 
-// Two connections in a row that don't open take an engine out at once: its process is gone, and each
-// further request would lose a try to it.
+// Two connections in a row that fail to open eject an engine at once: its process is gone, and each
+// further request would lose an attempt on it.
 #[test]
 fn unreachable_ejected() {
-    let mut world = World::new(2);
-    let first = sent_to(&world.arrive(1, true, 3)).unwrap();
-    let row = world.online.endpoints.get_mut(first).unwrap();
+    let mut simulation = Simulation::new(2);
+    let first = sent_to(&simulation.arrive(1, true, 3)).unwrap();
+    let row = simulation.online.endpoints.get_mut(first).unwrap();
     row.unreachable(ms(1_000));
     assert!(row.usable(ms(1_001)));
     row.unreachable(ms(1_002));
     assert!(!row.usable(ms(1_003)));
 }
 
-// The route allows two engines; a third try would break its bound.
+// The route allows two attempts, so there must not be a third one.
 #[test]
 fn attempts_bounded() {
-    let mut world = World::new(3);
-    world.arrive(1, true, 2);
-    assert!(sent_to(&world.failed(1, AttemptStage::MaybeSent)).is_some());
-    let end = world.failed(1, AttemptStage::MaybeSent);
+    let mut simulation = Simulation::new(3);
+    simulation.arrive(1, true, 2);
+    assert!(sent_to(&simulation.failed(1, AttemptStage::MaybeSent)).is_some());
+    let end = simulation.failed(1, AttemptStage::MaybeSent);
     let [Action::Refuse { kind, not_run, .. }] = &end[..] else {
         panic!("{end:?}");
     };
     assert_eq!((*kind, *not_run), (RefusalKind::EndpointFailed, false));
 }
 
-// A caller is told "not run" and asks again although its renewal was filed: the first engine may have
-// run it, and only the second one refused.
+// The first engine may have run the request, and only the second one refused it. "Not run" would be
+// false, and the caller might repeat a request that was executed.
 #[test]
 fn doubt_remembered() {
-    let mut world = World::new(2);
-    world.arrive(1, true, 2);
-    world.failed(1, AttemptStage::MaybeSent);
-    let end = world.failed(1, AttemptStage::Refused);
+    let mut simulation = Simulation::new(2);
+    simulation.arrive(1, true, 2);
+    simulation.failed(1, AttemptStage::MaybeSent);
+    let end = simulation.failed(1, AttemptStage::Refused);
     assert!(
         matches!(&end[..], [Action::Refuse { not_run: false, .. }]),
         "{end:?}"
     );
 }
 
-// All engines refuse a request: it has not run, and its caller may be told so.
+// All engines refuse a request: it has not run, and the response says so.
 #[test]
 fn refused_is_not_run() {
-    let mut world = World::new(2);
-    world.arrive(1, false, 1);
-    let end = world.failed(1, AttemptStage::Refused);
+    let mut simulation = Simulation::new(2);
+    simulation.arrive(1, false, 1);
+    let end = simulation.failed(1, AttemptStage::Refused);
     assert!(
         matches!(&end[..], [Action::Refuse { not_run: true, .. }]),
         "{end:?}"
