--- a/src/config/check.rs
+++ b/src/config/check.rs
@@ -44,7 +44,7 @@
     }
 
     /// Names are hashed to ids: two names with the same hash would be treated as one object.
-    fn unique<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
+    fn check_names<'a>(&mut self, kind: &str, names: impl Iterator<Item = &'a str>) {
         let mut seen: HashMap<u64, &str> = HashMap::new();
         for (at, name) in names.enumerate() {
             let path = format!("$[{at}].name");
@@ -64,7 +64,7 @@
         }
     }
 
-    fn known<'a>(
+    fn check_references<'a>(
         &mut self,
         kind: &str,
         names: impl Iterator<Item = (String, &'a str)>,
@@ -97,17 +97,17 @@
 }
 
 fn names(state: &State, faults: &mut Faults) {
-    faults.unique("services", state.services.iter().map(|s| &*s.name));
+    faults.check_names("services", state.services.iter().map(|s| &*s.name));
     let models = state.models.iter().map(|m| &*m.name);
-    faults.unique("models", models.clone());
+    faults.check_names("models", models.clone());
     // Callers name adapters like models, so an adapter must not have a model's name.
-    faults.unique("adapters", state.adapters.iter().map(|a| &*a.name));
-    faults.unique("workspaces", state.workspaces.iter().map(|w| &*w.name));
-    faults.unique(
+    faults.check_names("adapters", state.adapters.iter().map(|a| &*a.name));
+    faults.check_names("workspaces", state.workspaces.iter().map(|w| &*w.name));
+    faults.check_names(
         "failure_domains",
         state.failure_domains.iter().map(|d| &*d.name),
     );
-    faults.unique("endpoints", state.endpoints.iter().map(|e| &*e.name));
+    faults.check_names("endpoints", state.endpoints.iter().map(|e| &*e.name));
     let models: HashSet<&str> = models.collect();
     for (at, adapter) in state.adapters.iter().enumerate() {
         if models.contains(&*adapter.name) {
@@ -131,24 +131,24 @@
         let models = service.models.iter().enumerate();
         models.map(move |(n, model)| (format!("$[{at}].models[{n}]"), &**model))
     });
-    faults.known("services", of_services, &models, "models");
+    faults.check_references("services", of_services, &models, "models");
     let adapters = state.adapters.iter().enumerate();
     let adapters = adapters.map(|(at, a)| (format!("$[{at}].model"), &*a.model));
-    faults.known("adapters", adapters, &models, "models");
+    faults.check_references("adapters", adapters, &models, "models");
     let versions = state.versions.iter().enumerate();
     let versions = versions.map(|(at, v)| (format!("$[{at}].model"), &*v.model));
-    faults.known("versions", versions, &models, "models");
+    faults.check_references("versions", versions, &models, "models");
     let shares = || state.shares.iter().enumerate();
     let share_workspaces = shares().map(|(at, s)| (format!("$[{at}].workspace"), &*s.workspace));
-    faults.known("shares", share_workspaces, &workspaces, "workspaces");
+    faults.check_references("shares", share_workspaces, &workspaces, "workspaces");
     let share_services = shares().map(|(at, s)| (format!("$[{at}].service"), &*s.service));
-    faults.known("shares", share_services, &services, "services");
+    faults.check_references("shares", share_services, &services, "services");
     let endpoints = || state.endpoints.iter().enumerate();
     let in_domains =
         endpoints().map(|(at, e)| (format!("$[{at}].failure_domain"), &*e.failure_domain));
-    faults.known("endpoints", in_domains, &domains, "failure_domains");
+    faults.check_references("endpoints", in_domains, &domains, "failure_domains");
     let of_services = endpoints().map(|(at, e)| (format!("$[{at}].service"), &*e.service));
-    faults.known("endpoints", of_services, &services, "services");
+    faults.check_references("endpoints", of_services, &services, "services");
 }
 
 fn services(state: &State, faults: &mut Faults) {
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -64,7 +64,7 @@
         failure_domains: read_kind(folder, Kind::FailureDomains, &mut faults),
         endpoints: read_kind(folder, Kind::Endpoints, &mut faults),
     };
-    faults.extend(strangers(folder));
+    faults.extend(unknown_files(folder));
     if faults.is_empty() {
         faults = super::check::state(&state);
     }
@@ -75,7 +75,7 @@
 }
 
 /// Files that belong to no kind; a misspelt file name would otherwise be ignored silently.
-fn strangers(folder: &Path) -> Vec<Fault> {
+fn unknown_files(folder: &Path) -> Vec<Fault> {
     let known: Vec<String> = Kind::iter()
         .map(|kind| {
             let name: &'static str = kind.into();
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -18,9 +18,9 @@
 /// Watched prefix: the head and the job records.
 pub const LIVE_PREFIX: &str = "live/";
 /// Largest body; below the service's limit for a value.
-pub const BODY_BYTES: usize = 900 * 1024;
+pub const BODY_BYTES_MAX: usize = 900 * 1024;
 /// Most earlier versions listed in the head.
-pub const ANCESTORS: usize = 64;
+pub const ANCESTORS_MAX: usize = 64;
 
 /// Why a configuration could not be read or written.
 #[derive(Debug, Snafu)]
@@ -31,7 +31,7 @@
     Body { digest: String },
     #[snafu(display("the head is broken: {source}"))]
     Head { source: serde_json::Error },
-    #[snafu(display("one {kind} is larger than {BODY_BYTES} bytes"))]
+    #[snafu(display("one {kind} is larger than {BODY_BYTES_MAX} bytes"))]
     TooLarge { kind: &'static str },
     /// Nothing was applied.
     #[snafu(display("the platform is away; nothing was applied"))]
@@ -65,11 +65,11 @@
         let mut parts: Vec<String> = vec![String::new()];
         for row in rows {
             let text = row.to_string();
-            if text.len() > BODY_BYTES {
+            if text.len() > BODY_BYTES_MAX {
                 return TooLargeSnafu { kind: name }.fail();
             }
             let at = parts.len() - 1;
-            if parts[at].len() + text.len() + 3 > BODY_BYTES {
+            if parts[at].len() + text.len() + 3 > BODY_BYTES_MAX {
                 parts.push(text);
             } else {
                 if !parts[at].is_empty() {
@@ -182,7 +182,7 @@
                 at_ms: head.at_ms,
             }];
             ancestors.extend(head.ancestors);
-            ancestors.truncate(ANCESTORS);
+            ancestors.truncate(ANCESTORS_MAX);
             (revision, head.version + 1, ancestors)
         }
     };
@@ -198,7 +198,7 @@
     match platform.commit(HEAD_KEY, expect, &text, until) {
         Settled::Won(_) => Ok(Applied::Won(head)),
         Settled::Lost(entry) => {
-            let standing = entry.and_then(|entry| parse_head(&entry.value).ok());
+            let current = entry.and_then(|entry| parse_head(&entry.value).ok());
             // The answer was lost, and another operator has since applied a version on top of this
             // one.
             if standing
@@ -207,7 +207,7 @@
             {
                 return Ok(Applied::Won(head));
             }
-            Ok(Applied::Lost(standing))
+            Ok(Applied::Lost(current))
         }
         Settled::Away => Err(Error::Away),
         Settled::Unknown => Err(Error::Unknown),
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -15,7 +15,7 @@
 
 use clap::{Arg, ArgAction, ArgMatches, Command};
 
-use self::config::Config;
+use self::config::Arguments;
 
 /// Exit codes; each command's help lists those it uses.
 pub mod code {
@@ -26,9 +26,9 @@
     /// The arguments or files are invalid.
     pub const USAGE: u8 = 2;
     /// Another operator's version is in force.
-    pub const LOST: u8 = 3;
+    pub const CONFLICT: u8 = 3;
     /// The platform or a process can't be reached; nothing took effect.
-    pub const AWAY: u8 = 4;
+    pub const UNREACHABLE: u8 = 4;
     /// It is not known whether it took effect.
     pub const UNKNOWN: u8 = 5;
 }
@@ -91,17 +91,17 @@
     let Some((name, matches)) = matches.subcommand() else {
         return ExitCode::from(code::USAGE);
     };
-    let config = Config::new(matches);
+    let arguments = Arguments::new(matches);
     let outcome = match name {
-        "validate" => validate::run(&config),
-        "diff" => diff::run(&config),
-        "apply" => apply::run(&config),
-        "status" => status::run(&config),
-        "jobs" => jobs::run(&config),
-        "why" => why::run(&config),
-        "quarantine" => quarantine::run(&config),
-        "dump" => dump::run(&config),
-        _ => key::run(&config),
+        "validate" => validate::run(&arguments),
+        "diff" => diff::run(&arguments),
+        "apply" => apply::run(&arguments),
+        "status" => status::run(&arguments),
+        "jobs" => jobs::run(&arguments),
+        "why" => why::run(&arguments),
+        "quarantine" => quarantine::run(&arguments),
+        "dump" => dump::run(&arguments),
+        _ => key::run(&arguments),
     };
     match outcome {
         Ok(code) => ExitCode::from(code),
--- a/src/ctl/apply.rs
+++ b/src/ctl/apply.rs
@@ -5,7 +5,7 @@
 use clap::{Arg, ArgAction, Command};
 use serde_json::json;
 
-use super::config::{page, print, Config};
+use super::config::{page, print, Arguments};
 use super::{code, diff, Failure, Outcome};
 use crate::clock;
 use crate::config::diff::states;
@@ -14,8 +14,8 @@
 use crate::id::ConfigVersion;
 use crate::platform::Platform;
 
-const PATIENCE: Duration = Duration::from_secs(10);
-const LOOK: Duration = Duration::from_millis(100);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Defines the arguments.
 pub fn usage() -> Command {
@@ -58,33 +58,33 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let state = config.state()?;
-    let platform = config.platform()?;
-    let away = |error: store::Error| Failure::new(code::AWAY, error);
-    let base = store::read_head(&platform).map_err(away)?;
-    if let Some(wanted) = config.text("base") {
-        let standing = base.as_ref().map_or(0, |(_, head)| head.version);
-        if wanted.parse() != Ok(standing) {
-            let standing = base.map(|(_, head)| head);
-            return lost(config, &platform, &state, standing);
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let state = arguments.state()?;
+    let platform = arguments.platform()?;
+    let unreachable = |error: store::Error| Failure::new(code::UNREACHABLE, error);
+    let base = store::read_head(&platform).map_err(unreachable)?;
+    if let Some(wanted) = arguments.text("base") {
+        let current = base.as_ref().map_or(0, |(_, head)| head.version);
+        if wanted.parse() != Ok(current) {
+            let current = base.map(|(_, head)| head);
+            return report_conflict(arguments, &platform, &state, current);
         }
     }
-    let by = config.text("by").unwrap_or_default();
-    match store::apply(&platform, base, &state, by, PATIENCE) {
-        Ok(Applied::Won(head)) => won(config, &head),
-        Ok(Applied::Lost(standing)) => lost(config, &platform, &state, standing),
+    let by = arguments.text("by").unwrap_or_default();
+    match store::apply(&platform, base, &state, by, APPLY_TIMEOUT) {
+        Ok(Applied::Won(head)) => report_applied(arguments, &head),
+        Ok(Applied::Lost(current)) => report_conflict(arguments, &platform, &state, current),
         Err(error @ store::Error::Unknown) => Err(Failure::new(code::UNKNOWN, error)),
-        Err(error) => Err(Failure::new(code::AWAY, error)),
+        Err(error) => Err(Failure::new(code::UNREACHABLE, error)),
     }
 }
 
-fn won(config: &Config<'_>, head: &Head) -> Outcome {
-    let missing = match config.flag("wait") {
-        true => wait(config, head.version)?,
+fn report_applied(arguments: &Arguments<'_>, head: &Head) -> Outcome {
+    let missing = match arguments.flag("wait") {
+        true => wait_until_in_force(arguments, head.version)?,
         false => Vec::new(),
     };
-    if config.json() {
+    if arguments.json() {
         print(&json!({ "applied": head.version, "not_in_force_at": missing }));
     } else {
         println!("applied version {}", head.version);
@@ -100,14 +100,17 @@
 }
 
 /// Waits until all named processes have the version; returns those that don't, with the reason.
-fn wait(config: &Config<'_>, version: ConfigVersion) -> Result<Vec<String>, Failure> {
-    let until = clock::now() + config.seconds("wait-s");
-    let mut missing = config.some_entries()?;
+fn wait_until_in_force(
+    arguments: &Arguments<'_>,
+    version: ConfigVersion,
+) -> Result<Vec<String>, Failure> {
+    let until = clock::now() + arguments.seconds("wait-s");
+    let mut missing = arguments.required_entries()?;
     loop {
         let mut reasons = Vec::new();
-        missing.retain(|address| match at(address) {
+        missing.retain(|address| match version_at(address) {
             Ok(there) if there >= version => {
-                if !config.json() {
+                if !arguments.json() {
                     println!("in force at {address}");
                 }
                 false
@@ -124,32 +127,32 @@
         if missing.is_empty() || clock::now() >= until {
             return Ok(reasons);
         }
-        clock::sleep(LOOK);
+        clock::sleep(CHECK_INTERVAL);
     }
 }
 
 /// The version in force at a process.
-pub fn at(address: &str) -> Result<ConfigVersion, Failure> {
+pub fn version_at(address: &str) -> Result<ConfigVersion, Failure> {
     let dump = page(address, "/dump")?;
     Ok(dump["vm"]["config"].as_u64().unwrap_or(0))
 }
 
 /// Reports which version is in force and how the wanted state differs from it.
-fn lost(
-    config: &Config<'_>,
+fn report_conflict(
+    arguments: &Arguments<'_>,
     platform: &Platform,
     wanted: &State,
-    standing: Option<Head>,
+    current: Option<Head>,
 ) -> Outcome {
-    let Some(head) = standing else {
+    let Some(head) = current else {
         return Err(Failure::new(
-            code::LOST,
+            code::CONFLICT,
             "another version was applied meanwhile",
         ));
     };
     let state = store::read_state(platform, &head).unwrap_or_default();
     let differences = states(&state, wanted);
-    if config.json() {
+    if arguments.json() {
         print(&json!({
             "applied": null,
             "standing": { "version": head.version, "by": head.by, "at_ms": head.at_ms },
@@ -166,5 +169,5 @@
         "nothing was applied: version {} by {} stands",
         head.version, head.by
     );
-    Err(Failure::new(code::LOST, message))
+    Err(Failure::new(code::CONFLICT, message))
 }
--- a/src/ctl/config.rs
+++ b/src/ctl/config.rs
@@ -12,18 +12,18 @@
 use crate::config::{load, State};
 use crate::platform::{ListedVm, Platform};
 
-const TIMEOUT: Duration = Duration::from_secs(3);
-const PAGE_BYTES: u64 = 64 * 1024 * 1024;
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const PAGE_BYTES_MAX: u64 = 64 * 1024 * 1024;
 
-/// The arguments of one command.
-pub struct Config<'a> {
+/// The parsed arguments of one subcommand.
+pub struct Arguments<'a> {
     matches: &'a ArgMatches,
 }
 
-impl<'a> Config<'a> {
+impl<'a> Arguments<'a> {
     /// Wraps the arguments.
-    pub fn new(matches: &'a ArgMatches) -> Config<'a> {
-        Config { matches }
+    pub fn new(matches: &'a ArgMatches) -> Arguments<'a> {
+        Arguments { matches }
     }
 
     /// Whether to print JSON.
@@ -61,13 +61,13 @@
         })?;
         Ok(Platform::new(
             address.trim_start_matches("http://"),
-            TIMEOUT,
+            CALL_TIMEOUT,
         ))
     }
 
     /// The platform's client, if an address was given. A deployment with an adapter has another
     /// store, and its processes report what is in force.
-    pub fn some_platform(&self) -> Option<Platform> {
+    pub fn optional_platform(&self) -> Option<Platform> {
         self.text("platform")?;
         self.platform().ok()
     }
@@ -101,7 +101,7 @@
     }
 
     /// Like [`Config::entries`], but at least one is required.
-    pub fn some_entries(&self) -> Result<Vec<String>, Failure> {
+    pub fn required_entries(&self) -> Result<Vec<String>, Failure> {
         let entries = self.entries();
         match entries.is_empty() {
             true => Err(Failure::new(code::USAGE, "--entry ADDRESS is needed")),
@@ -114,7 +114,7 @@
 pub fn listed(platform: &Platform) -> Result<Vec<ListedVm>, Failure> {
     platform
         .vms()
-        .map_err(|error| Failure::new(code::AWAY, error))
+        .map_err(|error| Failure::new(code::UNREACHABLE, error))
 }
 
 /// Reads a page of a process.
@@ -125,23 +125,23 @@
 /// Reads a page of each given process and returns its rows, printed as JSON or one by one by
 /// `show`, which also gets the VM's name.
 pub fn rows(
-    config: &Config<'_>,
+    arguments: &Arguments<'_>,
     path: &str,
     list: &str,
     show: impl Fn(&Value, &Value),
 ) -> Result<Vec<Value>, Failure> {
     let mut answers = Vec::new();
     let mut all = Vec::new();
-    for address in config.some_entries()? {
+    for address in arguments.required_entries()? {
         let answer = page(&address, path)?;
         let rows = answer[list].as_array().cloned().unwrap_or_default();
-        if !config.json() {
+        if !arguments.json() {
             rows.iter().for_each(|row| show(&answer["vm"], row));
         }
         all.extend(rows);
         answers.push(answer);
     }
-    if config.json() {
+    if arguments.json() {
         print(&answers);
     }
     Ok(all)
@@ -158,18 +158,19 @@
 }
 
 fn call(address: &str, method: &str, path: &str) -> Result<Value, Failure> {
-    let away = |error: String| Failure::new(code::AWAY, format!("{address}: {error}"));
+    let unreachable =
+        |error: String| Failure::new(code::UNREACHABLE, format!("{address}: {error}"));
     let response = ureq::request(method, &format!("http://{address}{path}"))
-        .timeout(TIMEOUT)
+        .timeout(CALL_TIMEOUT)
         .call()
-        .map_err(|error| away(error.to_string()))?;
+        .map_err(|error| unreachable(error.to_string()))?;
     let mut text = String::new();
     let read = response
         .into_reader()
-        .take(PAGE_BYTES)
+        .take(PAGE_BYTES_MAX)
         .read_to_string(&mut text);
-    read.map_err(|error| away(error.to_string()))?;
-    serde_json::from_str(&text).map_err(|error| away(error.to_string()))
+    read.map_err(|error| unreachable(error.to_string()))?;
+    serde_json::from_str(&text).map_err(|error| unreachable(error.to_string()))
 }
 
 /// Prints a value as JSON.
--- a/src/ctl/diff.rs
+++ b/src/ctl/diff.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, Command};
 
-use super::config::{print, Config};
+use super::config::{print, Arguments};
 use super::{code, Failure, Outcome};
 use crate::config::diff::{states, Difference};
 use crate::config::{store, State};
@@ -20,13 +20,13 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let state = config.state()?;
-    let standing = store::read(&config.platform()?);
-    let standing = standing.map_err(|error| Failure::new(code::AWAY, error))?;
-    let old = standing.map_or_else(State::default, |(_, versioned)| versioned.state);
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let state = arguments.state()?;
+    let current = store::read(&arguments.platform()?);
+    let current = current.map_err(|error| Failure::new(code::UNREACHABLE, error))?;
+    let old = current.map_or_else(State::default, |(_, versioned)| versioned.state);
     let differences = states(&old, &state);
-    match config.json() {
+    match arguments.json() {
         true => print(&differences),
         false => show(&differences),
     }
--- a/src/ctl/dump.rs
+++ b/src/ctl/dump.rs
@@ -2,7 +2,7 @@
 
 use clap::Command;
 
-use super::config::{page, print, Config};
+use super::config::{page, print, Arguments};
 use super::{code, Outcome};
 
 /// Defines the arguments.
@@ -13,8 +13,8 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    for address in config.some_entries()? {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    for address in arguments.required_entries()? {
         print(&page(&address, "/dump")?);
     }
     Ok(code::OK)
--- a/src/ctl/jobs.rs
+++ b/src/ctl/jobs.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, ArgAction, Command};
 use serde_json::Value;
 
-use super::config::{page, print, Config};
+use super::config::{page, print, Arguments};
 use super::{code, Failure, Outcome};
 use crate::decide::jobs::{ChunkRecord, JobRecord};
 
@@ -21,22 +21,22 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let Some(platform) = config.some_platform() else {
-        return of_processes(config);
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let Some(platform) = arguments.optional_platform() else {
+        return list_from_processes(arguments);
     };
-    let away = |error| Failure::new(code::AWAY, error);
-    let entries = platform.list("live/job/").map_err(away)?;
+    let unreachable = |error| Failure::new(code::UNREACHABLE, error);
+    let entries = platform.list("live/job/").map_err(unreachable)?;
     let parsed = entries
         .iter()
         .filter_map(|e| serde_json::from_str::<JobRecord>(&e.value).ok());
     let mut records: Vec<JobRecord> = parsed
-        .filter(|record| config.flag("all") || !record.state.ended())
+        .filter(|record| arguments.flag("all") || !record.state.ended())
         .collect();
     for record in records.iter_mut().filter(|record| !record.state.ended()) {
         let chunks = platform
             .list(&format!("chunk/{}/", record.id))
-            .map_err(away)?;
+            .map_err(unreachable)?;
         let chunks = chunks
             .iter()
             .filter_map(|e| serde_json::from_str::<ChunkRecord>(&e.value).ok());
@@ -45,7 +45,7 @@
             record.counts.failed += chunk.counts.failed;
         }
     }
-    if config.json() {
+    if arguments.json() {
         print(&records);
         return Ok(code::OK);
     }
@@ -61,12 +61,12 @@
 }
 
 /// Lists the jobs reported by the first process that answers, in a deployment with an adapter.
-fn of_processes(config: &Config<'_>) -> Outcome {
+fn list_from_processes(arguments: &Arguments<'_>) -> Outcome {
     let mut last = None;
-    for address in config.some_entries()? {
+    for address in arguments.required_entries()? {
         match page(&address, "/dump") {
             Ok(dump) => {
-                show(config, &dump["jobs"]);
+                show(arguments, &dump["jobs"]);
                 return Ok(code::OK);
             }
             Err(failure) => last = Some(failure),
@@ -75,7 +75,7 @@
     Err(last.unwrap_or_else(|| Failure::new(code::USAGE, "--entry ADDRESS is needed")))
 }
 
-fn show(config: &Config<'_>, jobs: &Value) {
+fn show(arguments: &Arguments<'_>, jobs: &Value) {
     let number = |job: &Value, field: &str| job[field].as_u64().unwrap_or(0);
     let complete = |job: &Value| number(job, "listed") == number(job, "items");
     let state = |job: &Value| match (job["cancelled"] == true, complete(job)) {
@@ -83,9 +83,9 @@
         (_, true) => "completed",
         _ => "in_progress",
     };
-    let open = |job: &&Value| config.flag("all") || state(job) == "in_progress";
+    let open = |job: &&Value| arguments.flag("all") || state(job) == "in_progress";
     let jobs: Vec<&Value> = jobs.as_array().into_iter().flatten().filter(open).collect();
-    if config.json() {
+    if arguments.json() {
         print(&jobs);
         return;
     }
--- a/src/ctl/key.rs
+++ b/src/ctl/key.rs
@@ -2,7 +2,7 @@
 
 use clap::{Arg, Command};
 
-use super::config::Config;
+use super::config::Arguments;
 use super::{code, Outcome};
 use crate::id;
 
@@ -18,10 +18,10 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
     println!(
         "{}",
-        id::digest(config.text("key").unwrap_or_default().as_bytes())
+        id::digest(arguments.text("key").unwrap_or_default().as_bytes())
     );
     Ok(code::OK)
 }
--- a/src/ctl/quarantine.rs
+++ b/src/ctl/quarantine.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, Command};
 use serde_json::Value;
 
-use super::config::{rows, send, text, Config};
+use super::config::{rows, send, text, Arguments};
 use super::{code, Failure, Outcome};
 use crate::decide::quarantine::Fingerprint;
 
@@ -23,20 +23,20 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    match config.text("release") {
-        Some(fingerprint) => release(config, fingerprint),
-        None => list(config),
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    match arguments.text("release") {
+        Some(fingerprint) => release(arguments, fingerprint),
+        None => list(arguments),
     }
 }
 
-fn list(config: &Config<'_>) -> Outcome {
-    let rows = rows(config, "/quarantine", "requests", show)?;
-    let holds = rows.iter().any(|row| row["held_for_ms"].is_u64());
-    if !holds && !config.json() {
+fn list(arguments: &Arguments<'_>) -> Outcome {
+    let rows = rows(arguments, "/quarantine", "requests", show)?;
+    let any_held = rows.iter().any(|row| row["held_for_ms"].is_u64());
+    if !any_held && !arguments.json() {
         println!("nothing is held back");
     }
-    Ok(if holds { code::DIFFERS } else { code::OK })
+    Ok(if any_held { code::DIFFERS } else { code::OK })
 }
 
 fn show(vm: &Value, row: &Value) {
@@ -57,12 +57,12 @@
     );
 }
 
-fn release(config: &Config<'_>, fingerprint: &str) -> Outcome {
+fn release(arguments: &Arguments<'_>, fingerprint: &str) -> Outcome {
     let fingerprint: Fingerprint = fingerprint
         .parse()
         .map_err(|error| Failure::new(code::USAGE, error))?;
     let mut released = false;
-    for address in config.some_entries()? {
+    for address in arguments.required_entries()? {
         let answer = send(&address, &format!("/quarantine/release/{fingerprint}"))?;
         released |= answer["released"] == true;
     }
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -3,7 +3,7 @@
 use clap::Command;
 use serde_json::{json, Value};
 
-use super::config::{page, print, Config};
+use super::config::{page, print, Arguments};
 use super::{code, Outcome};
 use crate::config::store;
 
@@ -15,32 +15,32 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
     // Without the platform, the version is taken from the processes.
-    let head = config.some_platform().map(|platform| {
+    let head = arguments.optional_platform().map(|platform| {
         let found = store::read_head(&platform);
         found.map(|found| found.map(|(_, head)| head.version))
     });
     let rows: Vec<Value> = match &head {
-        Some(_) => config.entries(),
-        None => config.some_entries()?,
+        Some(_) => arguments.entries(),
+        None => arguments.required_entries()?,
     }
     .iter()
     .map(|address| row(address))
     .collect();
-    let told = rows.iter().filter_map(|row| row["version"].as_u64()).max();
+    let newest_reported = rows.iter().filter_map(|row| row["version"].as_u64()).max();
     let version = match &head {
         Some(Ok(version)) => *version,
         Some(Err(_)) => None,
         // The newest version of any process; a process with an older one differs from it.
-        None => told,
+        None => newest_reported,
     };
-    let fine = |row: &Value| {
+    let is_up_to_date = |row: &Value| {
         row["ready"].as_bool() == Some(true)
             && version.is_none_or(|version| row["version"].as_u64() == Some(version))
     };
-    let all_fine = rows.iter().all(fine);
-    if config.json() {
+    let all_up_to_date = rows.iter().all(is_up_to_date);
+    if arguments.json() {
         print(&json!({ "version": version, "processes": rows }));
     } else {
         match (&head, version) {
@@ -65,8 +65,8 @@
         }
     }
     let answered = matches!(head, Some(Ok(_))) || rows.iter().any(|row| row["name"].is_string());
-    Ok(match (answered, all_fine) {
-        (false, _) => code::AWAY,
+    Ok(match (answered, all_up_to_date) {
+        (false, _) => code::UNREACHABLE,
         (true, false) => code::DIFFERS,
         (true, true) => code::OK,
     })
--- a/src/ctl/validate.rs
+++ b/src/ctl/validate.rs
@@ -3,7 +3,7 @@
 use clap::{Arg, Command};
 use serde_json::json;
 
-use super::config::{print, Config};
+use super::config::{print, Arguments};
 use super::{code, Outcome};
 
 /// Defines the arguments.
@@ -19,11 +19,11 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let state = config.state()?;
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let state = arguments.state()?;
     let (services, endpoints) = (state.services.len(), state.endpoints.len());
     let workspaces = state.workspaces.len();
-    if config.json() {
+    if arguments.json() {
         print(&json!({ "valid": true, "services": services, "endpoints": endpoints }));
     } else {
         println!("valid: {services} services, {endpoints} endpoints, {workspaces} workspaces");
--- a/src/ctl/why.rs
+++ b/src/ctl/why.rs
@@ -3,7 +3,7 @@
 use clap::Command;
 use serde_json::Value;
 
-use super::config::{rows, text, Config};
+use super::config::{rows, text, Arguments};
 use super::{code, Outcome};
 
 /// Defines the arguments.
@@ -14,9 +14,9 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let rows = rows(config, "/why", "waiting", show)?;
-    if rows.is_empty() && !config.json() {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let rows = rows(arguments, "/why", "waiting", show)?;
+    if rows.is_empty() && !arguments.json() {
         println!("nothing waits");
     }
     Ok(if rows.is_empty() {
