--- a/src/engine.rs
+++ b/src/engine.rs
@@ -11,13 +11,13 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Longest time without a byte on a stream; also the write timeout of all connections.
-const STREAM_IDLE: Duration = Duration::from_secs(5);
-const CALL_READ: Duration = Duration::from_secs(600);
+const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+const CALL_READ_TIMEOUT: Duration = Duration::from_secs(600);
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-const IDLE_PER_HOST: usize = 64;
-const IDLE_ALL: usize = 512;
-const EVENT_BYTES: usize = 1024 * 1024;
-const ANSWER_BYTES: usize = 64 * 1024 * 1024;
+const IDLE_CONNECTIONS_PER_HOST_MAX: usize = 64;
+const IDLE_CONNECTIONS_MAX: usize = 512;
+const EVENT_BYTES_MAX: usize = 1024 * 1024;
+const ANSWER_BYTES_MAX: usize = 64 * 1024 * 1024;
 /// Header with the id of an attempt; engines echo it.
 pub const ATTEMPT_HEADER: &str = "X-Attempt-Id";
 
@@ -87,9 +87,13 @@
     ureq::AgentBuilder::new()
         .timeout_connect(CONNECT_TIMEOUT)
         .timeout_read(read)
-        .timeout_write(STREAM_IDLE)
+        .timeout_write(STREAM_IDLE_TIMEOUT)
         .redirects(0)
-        .max_idle_connections(if idle_per_host == 0 { 0 } else { IDLE_ALL })
+        .max_idle_connections(if idle_per_host == 0 {
+            0
+        } else {
+            IDLE_CONNECTIONS_MAX
+        })
         .max_idle_connections_per_host(idle_per_host)
         .build()
 }
@@ -98,10 +102,10 @@
     /// Creates the connection pools; opens no connection yet.
     pub fn new() -> Engines {
         Engines {
-            streams: agent(STREAM_IDLE, IDLE_PER_HOST),
-            calls: agent(CALL_READ, IDLE_PER_HOST),
-            single: agent(CALL_READ, 0),
-            control: agent(CONTROL_TIMEOUT, IDLE_PER_HOST),
+            streams: agent(STREAM_IDLE_TIMEOUT, IDLE_CONNECTIONS_PER_HOST_MAX),
+            calls: agent(CALL_READ_TIMEOUT, IDLE_CONNECTIONS_PER_HOST_MAX),
+            single: agent(CALL_READ_TIMEOUT, 0),
+            control: agent(CONTROL_TIMEOUT, IDLE_CONNECTIONS_PER_HOST_MAX),
         }
     }
 
@@ -129,10 +133,10 @@
         let mut body = Vec::new();
         let read = response
             .into_reader()
-            .take(ANSWER_BYTES as u64)
+            .take(ANSWER_BYTES_MAX as u64)
             .read_to_end(&mut body);
         read.map_err(|error| Fault::new(AttemptStage::MaybeSent, true, error.to_string()))?;
-        if length.is_some_and(|length| length != body.len()) || body.len() == ANSWER_BYTES {
+        if length.is_some_and(|length| length != body.len()) || body.len() == ANSWER_BYTES_MAX {
             return Err(Fault::new(
                 AttemptStage::MaybeSent,
                 true,
@@ -158,7 +162,7 @@
     /// Sends a request whose response is an event stream.
     pub fn stream(&self, call: Call<'_>) -> Result<Started, Fault> {
         let response = send(&self.streams, call)?;
-        started(response, call.attempt)
+        stream_response(response, call.attempt)
     }
 
     /// Resumes a stream after `offset` events.
@@ -173,7 +177,7 @@
         let sent = self.streams.get(&url).timeout(timeout).call();
         let response =
             sent.map_err(|error| Fault::new(AttemptStage::MaybeSent, true, error.to_string()))?;
-        started(response, attempt)
+        stream_response(response, attempt)
     }
 
     /// Cancels an attempt at its endpoint.
@@ -194,7 +198,7 @@
         let mut body = Vec::new();
         let read = response
             .into_reader()
-            .take(EVENT_BYTES as u64)
+            .take(EVENT_BYTES_MAX as u64)
             .read_to_end(&mut body);
         read.map_err(|e| failed(e.to_string()))?;
         serde_json::from_slice(&body).map_err(|e| failed(e.to_string()))
@@ -255,7 +259,7 @@
     Whole(Answer),
 }
 
-fn started(response: ureq::Response, attempt: &str) -> Result<Started, Fault> {
+fn stream_response(response: ureq::Response, attempt: &str) -> Result<Started, Fault> {
     if response
         .header(ATTEMPT_HEADER)
         .is_some_and(|echoed| echoed != attempt)
@@ -271,13 +275,13 @@
         let input = BufReader::new(response.into_reader());
         return Ok(Started::Stream(Events {
             input: Box::new(input),
-            seen: 0,
+            events_read: 0,
         }));
     }
     let mut body = Vec::new();
     let read = response
         .into_reader()
-        .take(EVENT_BYTES as u64)
+        .take(EVENT_BYTES_MAX as u64)
         .read_to_end(&mut body);
     read.map_err(|error| Fault::new(AttemptStage::MaybeSent, true, error.to_string()))?;
     Ok(Started::Whole(Answer {
@@ -300,7 +304,7 @@
 pub struct Events {
     input: Box<dyn BufRead + Send>,
     /// Events read on this connection.
-    pub seen: u64,
+    pub events_read: u64,
 }
 
 impl Events {
@@ -311,10 +315,10 @@
         loop {
             let before = event.len();
             let read = (&mut self.input)
-                .take(EVENT_BYTES as u64)
+                .take(EVENT_BYTES_MAX as u64)
                 .read_until(b'\n', &mut event);
             let count = read.map_err(|error| broken(error.to_string()))?;
-            if count == 0 || event.len() > EVENT_BYTES {
+            if count == 0 || event.len() > EVENT_BYTES_MAX {
                 return Err(broken("the stream ended without its marker".into()));
             }
             let line = &event[before..];
@@ -332,7 +336,7 @@
                 ..broken(detail)
             });
         }
-        self.seen += 1;
+        self.events_read += 1;
         Ok(Event::Data(event.into()))
     }
 }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -13,12 +13,12 @@
 use super::Request;
 use crate::clock;
 
-const MAX_HEADERS: usize = 64;
-const READ_BYTES: usize = 8 * 1024;
+const HEADERS_MAX: usize = 64;
+const READ_BUFFER_BYTES: usize = 8 * 1024;
 const STACK_BYTES: usize = 256 * 1024;
-const IDLE_SLICE: Duration = Duration::from_millis(200);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-const REFUSAL_RETRY: Duration = Duration::from_secs(1);
+const REFUSAL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Limits on what callers may use of this process.
 #[derive(Debug, Clone)]
@@ -113,7 +113,7 @@
         self.drain();
         self.shared.closing.store(true, Ordering::SeqCst);
         // Wakes the accept loop, which otherwise blocks until the next caller connects.
-        let _ = TcpStream::connect_timeout(&self.address, IDLE_SLICE);
+        let _ = TcpStream::connect_timeout(&self.address, IDLE_CHECK_INTERVAL);
     }
 }
 
@@ -161,8 +161,8 @@
 
 /// Refuses a connection over the limit at once, without a thread for it.
 fn refuse(mut stream: TcpStream) {
-    let problem =
-        Problem::not_run(RefusalKind::ServiceFull, "too many connections").after(REFUSAL_RETRY);
+    let problem = Problem::not_run(RefusalKind::ServiceFull, "too many connections")
+        .after(REFUSAL_RETRY_AFTER);
     let _ = stream.set_nonblocking(true);
     let _ = stream.write_all(&full_response(
         &problem_head(&problem),
@@ -170,7 +170,7 @@
         false,
     ));
     let _ = stream.shutdown(Shutdown::Write);
-    let _ = stream.read(&mut [0; READ_BYTES]);
+    let _ = stream.read(&mut [0; READ_BUFFER_BYTES]);
 }
 
 fn problem_head(problem: &Problem) -> Head {
@@ -236,11 +236,11 @@
 pub struct Responder {
     stream: BufWriter<TcpStream>,
     keep: bool,
-    state: Sent,
+    state: ResponseState,
 }
 
 #[derive(PartialEq)]
-enum Sent {
+enum ResponseState {
     Nothing,
     Streaming,
     All,
@@ -249,7 +249,7 @@
 impl Responder {
     /// Sends a complete response.
     pub fn full(&mut self, head: &Head, body: &[u8]) -> io::Result<()> {
-        self.state = Sent::All;
+        self.state = ResponseState::All;
         self.stream
             .write_all(&full_response(head, body, self.keep))?;
         self.stream.flush()
@@ -268,7 +268,7 @@
 
     /// Starts a chunked response.
     pub fn start(&mut self, head: &Head) -> io::Result<()> {
-        self.state = Sent::Streaming;
+        self.state = ResponseState::Streaming;
         let mut out = Vec::with_capacity(256);
         head.write(&mut out, self.keep);
         out.extend_from_slice(b"Transfer-Encoding: chunked\r\n\r\n");
@@ -277,19 +277,19 @@
     }
 
     /// Sends one chunk immediately.
-    pub fn chunk(&mut self, piece: &[u8]) -> io::Result<()> {
-        if piece.is_empty() {
+    pub fn chunk(&mut self, content: &[u8]) -> io::Result<()> {
+        if content.is_empty() {
             return Ok(());
         }
-        write!(self.stream, "{:x}\r\n", piece.len())?;
-        self.stream.write_all(piece)?;
+        write!(self.stream, "{:x}\r\n", content.len())?;
+        self.stream.write_all(content)?;
         self.stream.write_all(b"\r\n")?;
         self.stream.flush()
     }
 
     /// Ends a chunked response; without this call the caller sees the response as broken.
     pub fn end(&mut self) -> io::Result<()> {
-        self.state = Sent::All;
+        self.state = ResponseState::All;
         self.stream.write_all(b"0\r\n\r\n")?;
         self.stream.flush()
     }
@@ -297,14 +297,14 @@
     /// Sends raw bytes, after which the connection is closed; simulated engines break responses
     /// with it.
     pub fn raw(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.state = Sent::Streaming;
+        self.state = ResponseState::Streaming;
         self.stream.write_all(bytes)?;
         self.stream.flush()
     }
 
     /// Whether any byte of a response was sent.
     pub fn started(&self) -> bool {
-        self.state != Sent::Nothing
+        self.state != ResponseState::Nothing
     }
 }
 
@@ -314,13 +314,13 @@
     buffer: BytesMut,
 }
 
-enum Next {
+enum ReadOutcome {
     Request(Box<Request>),
     Closed,
     Refused(Problem),
 }
 
-enum Body {
+enum BodyFraming {
     Length(usize),
     Chunked,
 }
@@ -364,33 +364,33 @@
         let mut responder = Responder {
             stream: BufWriter::with_capacity(2048, self.stream.try_clone()?),
             keep,
-            state: Sent::Nothing,
+            state: ResponseState::Nothing,
         };
         match next {
-            Next::Closed => Ok(false),
-            Next::Refused(problem) => {
+            ReadOutcome::Closed => Ok(false),
+            ReadOutcome::Refused(problem) => {
                 responder.keep = false;
                 responder.problem(&problem)?;
                 self.stream.shutdown(Shutdown::Write)?;
                 self.discard();
                 Ok(false)
             }
-            Next::Request(request) => {
+            ReadOutcome::Request(request) => {
                 let wants_close = request
                     .header("connection")
                     .is_some_and(|v| v.eq_ignore_ascii_case("close"));
                 responder.keep = keep && !wants_close;
                 handler(&request, &mut responder)?;
-                Ok(responder.keep && responder.state == Sent::All)
+                Ok(responder.keep && responder.state == ResponseState::All)
             }
         }
     }
 
     /// Reads what the caller is still sending, so that a reset does not overtake the refusal.
     fn discard(&mut self) {
-        let _ = self.stream.set_read_timeout(Some(IDLE_SLICE));
-        let until = clock::now() + IDLE_SLICE * 2;
-        let mut discarded = [0; READ_BYTES];
+        let _ = self.stream.set_read_timeout(Some(IDLE_CHECK_INTERVAL));
+        let until = clock::now() + IDLE_CHECK_INTERVAL * 2;
+        let mut discarded = [0; READ_BUFFER_BYTES];
         while clock::now() < until {
             match self.stream.read(&mut discarded) {
                 Ok(count) if count > 0 => {}
@@ -407,7 +407,7 @@
             if self.shared.closing.load(Ordering::SeqCst) || clock::now() >= until {
                 return Ok(false);
             }
-            self.stream.set_read_timeout(Some(IDLE_SLICE))?;
+            self.stream.set_read_timeout(Some(IDLE_CHECK_INTERVAL))?;
             match self.fill() {
                 Ok(0) => return Ok(false),
                 Ok(_) => {}
@@ -419,9 +419,9 @@
     }
 
     fn fill(&mut self) -> io::Result<usize> {
-        let mut piece = [0; READ_BYTES];
-        let count = self.stream.read(&mut piece)?;
-        self.buffer.extend_from_slice(&piece[..count]);
+        let mut received = [0; READ_BUFFER_BYTES];
+        let count = self.stream.read(&mut received)?;
+        self.buffer.extend_from_slice(&received[..count]);
         Ok(count)
     }
 
@@ -439,10 +439,10 @@
         }
     }
 
-    fn read_request(&mut self) -> io::Result<Next> {
+    fn read_request(&mut self) -> io::Result<ReadOutcome> {
         let until = clock::now() + self.shared.limits.head_timeout;
         let slow = || {
-            Next::Refused(Problem::not_run(
+            ReadOutcome::Refused(Problem::not_run(
                 RefusalKind::SlowRequest,
                 "head not whole in time",
             ))
@@ -455,38 +455,38 @@
                 }
                 Ok(None) if self.buffer.len() > self.shared.limits.head_bytes => {
                     let detail = format!("at most {} bytes", self.shared.limits.head_bytes);
-                    return Ok(Next::Refused(Problem::not_run(
+                    return Ok(ReadOutcome::Refused(Problem::not_run(
                         RefusalKind::HeadTooLarge,
                         detail,
                     )));
                 }
                 Ok(None) => {}
-                Err(problem) => return Ok(Next::Refused(problem)),
+                Err(problem) => return Ok(ReadOutcome::Refused(problem)),
             }
             match self.fill_until(until)? {
                 None => return Ok(slow()),
-                Some(0) => return Ok(Next::Closed),
+                Some(0) => return Ok(ReadOutcome::Closed),
                 Some(_) => {}
             }
         }
     }
 
-    fn read_body(&mut self, mut request: Request, body: Body) -> io::Result<Next> {
+    fn read_body(&mut self, mut request: Request, body: BodyFraming) -> io::Result<ReadOutcome> {
         if request.header("expect").is_some() {
             self.stream.write_all(b"HTTP/1.1 100 Continue\r\n\r\n")?;
         }
         let until = clock::now() + self.shared.limits.body_timeout;
         let read = match body {
-            Body::Length(length) => self.read_length(length, until)?,
-            Body::Chunked => self.read_chunks(until)?,
+            BodyFraming::Length(length) => self.read_length(length, until)?,
+            BodyFraming::Chunked => self.read_chunks(until)?,
         };
         match read {
             Ok(Some(body)) => {
                 request.body = body;
-                Ok(Next::Request(Box::new(request)))
+                Ok(ReadOutcome::Request(Box::new(request)))
             }
-            Ok(None) => Ok(Next::Closed),
-            Err(problem) => Ok(Next::Refused(problem)),
+            Ok(None) => Ok(ReadOutcome::Closed),
+            Err(problem) => Ok(ReadOutcome::Refused(problem)),
         }
     }
 
@@ -518,7 +518,7 @@
         loop {
             let (start, size) = match httparse::parse_chunk_size(&self.buffer) {
                 Ok(httparse::Status::Complete((start, size))) => (start, size as usize),
-                Ok(httparse::Status::Partial) if self.buffer.len() < READ_BYTES => {
+                Ok(httparse::Status::Partial) if self.buffer.len() < READ_BUFFER_BYTES => {
                     match self.fill_until(until)? {
                         None => return Ok(Err(slow_body())),
                         Some(0) => return Ok(Ok(None)),
@@ -537,8 +537,8 @@
             }
             let _ = self.buffer.split_to(start);
             match self.read_length(size + 2, until)? {
-                Ok(Some(piece)) if piece.ends_with(b"\r\n") => {
-                    body.extend_from_slice(&piece[..size]);
+                Ok(Some(chunk)) if chunk.ends_with(b"\r\n") => {
+                    body.extend_from_slice(&chunk[..size]);
                 }
                 Ok(Some(_)) => {
                     return Ok(Err(Problem::not_run(
@@ -567,14 +567,14 @@
 }
 
 /// Parses a request head; `None` while it is incomplete.
-fn parse_head(buffer: &[u8]) -> Result<Option<(Request, usize, Body)>, Problem> {
-    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+fn parse_head(buffer: &[u8]) -> Result<Option<(Request, usize, BodyFraming)>, Problem> {
+    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut parsed = httparse::Request::new(&mut headers);
     let length = match parsed.parse(buffer) {
         Ok(httparse::Status::Complete(length)) => length,
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => {
-            let detail = format!("at most {MAX_HEADERS} headers");
+            let detail = format!("at most {HEADERS_MAX} headers");
             return Err(Problem::not_run(RefusalKind::HeadTooLarge, detail));
         }
         Err(error) => return Err(Problem::not_run(RefusalKind::BadRequest, error.to_string())),
@@ -594,13 +594,13 @@
             .collect(),
         body: Bytes::new(),
     };
-    let body = body_kind(&request)?;
+    let body = body_framing(&request)?;
     Ok(Some((request, length, body)))
 }
 
 /// Determines how the end of the body is known. A request that states it in two ways is refused: a
 /// proxy in front might use the other one and take part of the body for a separate request.
-fn body_kind(request: &Request) -> Result<Body, Problem> {
+fn body_framing(request: &Request) -> Result<BodyFraming, Problem> {
     let bad = |detail: &str| Err(Problem::not_run(RefusalKind::BadRequest, detail));
     let lengths: Vec<&str> = request
         .headers
@@ -609,12 +609,12 @@
         .map(|(_, value)| value.trim())
         .collect();
     match (request.header("transfer-encoding"), lengths.as_slice()) {
-        (None, []) => Ok(Body::Length(0)),
+        (None, []) => Ok(BodyFraming::Length(0)),
         (None, [length]) if length.bytes().all(|b| b.is_ascii_digit()) => match length.parse() {
-            Ok(length) => Ok(Body::Length(length)),
+            Ok(length) => Ok(BodyFraming::Length(length)),
             Err(_) => bad("bad Content-Length"),
         },
-        (Some(coding), []) if coding.eq_ignore_ascii_case("chunked") => Ok(Body::Chunked),
+        (Some(coding), []) if coding.eq_ignore_ascii_case("chunked") => Ok(BodyFraming::Chunked),
         _ => bad("the body's length is not clear"),
     }
 }
--- a/src/launch.rs
+++ b/src/launch.rs
@@ -7,14 +7,14 @@
 use clap::{Arg, Command};
 use serde::de::DeserializeOwned;
 
-use crate::settings::{self, Found};
+use crate::settings::{self, InvalidField};
 
-const USAGE: u8 = 2;
+const EXIT_USAGE: u8 = 2;
 
 /// Reads the settings file named on the command line and runs the process with it.
 pub fn launch<T: DeserializeOwned, E: Display>(
     name: &'static str,
-    check: impl Fn(&T) -> Vec<Found>,
+    check: impl Fn(&T) -> Vec<InvalidField>,
     run: impl FnOnce(T) -> Result<i32, E>,
 ) -> ExitCode {
     let settings = Arg::new("settings")
@@ -32,7 +32,7 @@
         Ok(settings) => settings,
         Err(faults) => {
             faults.iter().for_each(|fault| eprintln!("{fault}"));
-            return ExitCode::from(USAGE);
+            return ExitCode::from(EXIT_USAGE);
         }
     };
     match run(settings) {
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -26,9 +26,9 @@
 
 /// Lines that may be queued for the writer thread: a burst of some seconds at the highest rate
 /// seen.
-const LINES_WAITING: usize = 4096;
+const QUEUED_LINES_MAX: usize = 4096;
 /// Lines logged in one second at most; the excess is counted and reported in one line.
-const LINES_PER_S: u32 = 400;
+const LINES_PER_S_MAX: u32 = 400;
 
 /// Starts logging to standard error.
 pub fn start(settings: &Log, vm: &str, failure_domain: &str) {
@@ -42,24 +42,24 @@
 /// Without that thread, a reader that stops reading would let the pipe fill up and block the event
 /// loop in the middle of a log line. Lines that don't fit into the queue are dropped and counted.
 pub fn start_bounded(settings: &Log, vm: &str, failure_domain: &str) {
-    let (sender, lines) = mpsc::sync_channel::<String>(LINES_WAITING);
-    let gate = Mutex::new(Gate::default());
+    let (sender, lines) = mpsc::sync_channel::<String>(QUEUED_LINES_MAX);
+    let limiter = Mutex::new(LineLimiter::default());
     let output = fern::Output::call(move |record| {
-        let Some(dropped) = lock(&gate).pass(clock::now()) else {
+        let Some(dropped) = lock(&limiter).admit(clock::now()) else {
             return;
         };
         if dropped > 0 {
             let notice = format!("{{\"message\":\"log lines dropped\",\"lines\":{dropped}}}");
             // If the queue is full, this count is lost too.
-            WAITING.fetch_add(1, Ordering::SeqCst);
+            QUEUED_LINES.fetch_add(1, Ordering::SeqCst);
             if sender.try_send(notice).is_err() {
-                WAITING.fetch_sub(1, Ordering::SeqCst);
+                QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
             }
         }
-        WAITING.fetch_add(1, Ordering::SeqCst);
+        QUEUED_LINES.fetch_add(1, Ordering::SeqCst);
         if sender.try_send(record.args().to_string()).is_err() {
-            WAITING.fetch_sub(1, Ordering::SeqCst);
-            lock(&gate).dropped += 1;
+            QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
+            lock(&limiter).dropped += 1;
         }
     });
     let dispatch = formatted(settings, vm, failure_domain).chain(output);
@@ -77,7 +77,7 @@
     while let Ok(line) = lines.recv() {
         // When the output is closed, the error can't be reported anywhere.
         let _ = writeln!(out, "{line}");
-        WAITING.fetch_sub(1, Ordering::SeqCst);
+        QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
@@ -87,37 +87,37 @@
 /// that reports the end of a planned stop is lost.
 pub fn flush(within: Duration) {
     let until = clock::now() + within;
-    while WAITING.load(Ordering::SeqCst) > 0 && clock::now() < until {
-        clock::sleep(FLUSH_LOOK);
+    while QUEUED_LINES.load(Ordering::SeqCst) > 0 && clock::now() < until {
+        clock::sleep(FLUSH_CHECK_INTERVAL);
     }
 }
 
 /// Lines that are queued and not yet written.
-static WAITING: AtomicUsize = AtomicUsize::new(0);
+static QUEUED_LINES: AtomicUsize = AtomicUsize::new(0);
 /// Interval between checks for unwritten lines.
-const FLUSH_LOOK: Duration = Duration::from_millis(2);
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Limits the number of lines in each second.
 #[derive(Default)]
-struct Gate {
+struct LineLimiter {
     second: u64,
-    passed: u32,
+    admitted: u32,
     dropped: u32,
 }
 
-impl Gate {
+impl LineLimiter {
     /// Returns the number of lines dropped since the previous line, or `None` if this line is
     /// dropped.
-    fn pass(&mut self, now: Duration) -> Option<u32> {
+    fn admit(&mut self, now: Duration) -> Option<u32> {
         if now.as_secs() != self.second {
             self.second = now.as_secs();
-            self.passed = 0;
+            self.admitted = 0;
         }
-        if self.passed >= LINES_PER_S {
+        if self.admitted >= LINES_PER_S_MAX {
             self.dropped += 1;
             return None;
         }
-        self.passed += 1;
+        self.admitted += 1;
         Some(std::mem::take(&mut self.dropped))
     }
 }
--- a/src/pages.rs
+++ b/src/pages.rs
@@ -13,7 +13,7 @@
 
 use crate::http::server::{Head, Responder};
 
-const BACKLOG: i32 = 512;
+const ACCEPT_BACKLOG: i32 = 512;
 
 /// A page with its status and content type.
 #[derive(Debug, Clone)]
@@ -72,7 +72,7 @@
     // acknowledgements.
     socket.set_nodelay(true)?;
     socket.bind(&address.into())?;
-    socket.listen(BACKLOG)?;
+    socket.listen(ACCEPT_BACKLOG)?;
     Ok(socket.into())
 }
 
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -13,9 +13,9 @@
 
 /// Largest value that the service stores.
 pub const VALUE_BYTES: usize = 1024 * 1024;
-const REPLY_BYTES: u64 = 64 * 1024 * 1024;
+const REPLY_BYTES_MAX: u64 = 64 * 1024 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-const SETTLE_PAUSE: Duration = Duration::from_millis(50);
+const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
 /// Why a platform call failed.
 #[derive(Debug, Snafu)]
@@ -60,12 +60,12 @@
 }
 
 #[derive(Deserialize)]
-struct Written {
+struct WriteReply {
     revision: Revision,
 }
 
 #[derive(Deserialize)]
-struct Granted {
+struct LeaseReply {
     lease: u64,
 }
 
@@ -156,7 +156,7 @@
             url.push_str(&format!("&lease={lease}"));
         }
         match self.agent.put(&url).send_bytes(value.as_bytes()) {
-            Ok(response) => match parse::<Written>(response) {
+            Ok(response) => match parse::<WriteReply>(response) {
                 Ok(written) => Answer::Won(written.revision),
                 Err(_) => Answer::Unknown,
             },
@@ -194,7 +194,7 @@
                 Step::Lost => return Settled::Lost(found),
                 Step::Away => return Settled::Away,
                 Step::Write | Step::Read if clock::now() >= until => return Settled::Unknown,
-                Step::Write | Step::Read => clock::sleep(commit.pause(SETTLE_PAUSE)),
+                Step::Write | Step::Read => clock::sleep(commit.pause(COMMIT_RETRY_PAUSE)),
             }
         }
     }
@@ -202,7 +202,7 @@
     /// Creates a lease.
     pub fn lease(&self, ttl: Duration) -> Result<u64, Error> {
         let url = format!("{}/lease?ttl_ms={}", self.base, ttl.as_millis());
-        let granted: Granted = parse(self.agent.post(&url).call().map_err(read_error)?)?;
+        let granted: LeaseReply = parse(self.agent.post(&url).call().map_err(read_error)?)?;
         Ok(granted.lease)
     }
 
@@ -243,7 +243,7 @@
     let mut text = String::new();
     let read = response
         .into_reader()
-        .take(REPLY_BYTES)
+        .take(REPLY_BYTES_MAX)
         .read_to_string(&mut text);
     read.map_err(|error| Error::Unknown {
         detail: error.to_string(),
--- a/src/segments.rs
+++ b/src/segments.rs
@@ -17,7 +17,7 @@
 pub const INLINE_BYTES: usize = VALUE_BYTES / 2;
 /// Most parts of one piece of content: a chunk of a job has 4 MiB plus at most one line.
 const PARTS_MAX: usize = 16;
-const PATIENCE: Duration = Duration::from_secs(3);
+const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
 const BULK_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Why content could not be stored or read.
@@ -63,7 +63,7 @@
 
     fn store_inline(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let text = String::from_utf8_lossy(content);
-        let until = clock::now() + PATIENCE;
+        let until = clock::now() + COMMIT_TIMEOUT;
         match self.platform.commit(&segment_key(digest), 0, &text, until) {
             // Equal digests mean equal content, whichever process wrote it.
             Settled::Won(_) | Settled::Lost(Some(_)) => Ok(ContentLocation::Inline),
@@ -87,7 +87,7 @@
             .fail();
         }
         for (number, part) in parts.iter().enumerate() {
-            let until = clock::now() + PATIENCE;
+            let until = clock::now() + COMMIT_TIMEOUT;
             let key = part_key(digest, number as u32);
             match self.platform.commit(&key, 0, part, until) {
                 // Equal digests mean equal content, split the same way, whichever process wrote it.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -267,7 +267,7 @@
 /// Reads settings; `check` validates what the types can't express.
 pub fn read<T: DeserializeOwned>(
     path: &Path,
-    check: impl Fn(&T) -> Vec<Found>,
+    check: impl Fn(&T) -> Vec<InvalidField>,
 ) -> Result<T, Vec<Fault>> {
     let file = path.display().to_string();
     let fault = |path: String, found: String, allowed: &str| Fault {
@@ -290,9 +290,9 @@
 }
 
 /// An invalid field: its name, the value found, and the allowed values.
-pub type Found = (&'static str, String, &'static str);
+pub type InvalidField = (&'static str, String, &'static str);
 
-fn common(cluster_key: &str, log: &Log) -> Vec<Found> {
+fn check_common(cluster_key: &str, log: &Log) -> Vec<InvalidField> {
     let mut found = Vec::new();
     if cluster_key.len() < 16 {
         let length = format!("{} characters", cluster_key.len());
@@ -308,67 +308,67 @@
     found
 }
 
-fn between(
+fn check_range(
     field: &'static str,
     value: u64,
     from: u64,
     to: u64,
     allowed: &'static str,
-) -> Option<Found> {
+) -> Option<InvalidField> {
     (!(from..=to).contains(&value)).then(|| (field, value.to_string(), allowed))
 }
 
 /// Checks the durations of a planned stop.
-fn stop_times(drain_ms: u64, stop_limit_ms: u64) -> impl Iterator<Item = Found> {
-    let drain = between("drain_ms", drain_ms, 0, 600_000, "0 to 600000");
-    drain.into_iter().chain(stop_limit(stop_limit_ms))
+fn check_stop_times(drain_ms: u64, stop_limit_ms: u64) -> impl Iterator<Item = InvalidField> {
+    let drain = check_range("drain_ms", drain_ms, 0, 600_000, "0 to 600000");
+    drain.into_iter().chain(check_stop_limit(stop_limit_ms))
 }
 
-fn stop_limit(stop_limit_ms: u64) -> Option<Found> {
-    between("stop_limit_ms", stop_limit_ms, 1, 3_600_000, "1 to 3600000")
+fn check_stop_limit(stop_limit_ms: u64) -> Option<InvalidField> {
+    check_range("stop_limit_ms", stop_limit_ms, 1, 3_600_000, "1 to 3600000")
 }
 
-fn gossip(address: SocketAddr) -> Option<Found> {
+fn check_gossip_address(address: SocketAddr) -> Option<InvalidField> {
     let allowed = "the IP number that the other VMs send to";
     let found = ("gossip_address", address.to_string(), allowed);
     address.ip().is_unspecified().then_some(found)
 }
 
 /// Checks settings of `bramley-entry`.
-pub fn check_entry(settings: &Entry) -> Vec<Found> {
-    let mut found = common(&settings.cluster_key, &settings.log);
+pub fn check_entry(settings: &Entry) -> Vec<InvalidField> {
+    let mut found = check_common(&settings.cluster_key, &settings.log);
     let connections = settings.max_connections as u64;
-    found.extend(between(
+    found.extend(check_range(
         "max_connections",
         connections,
         1,
         65_536,
         "1 to 65536",
     ));
-    found.extend(between(
+    found.extend(check_range(
         "head_timeout_ms",
         settings.head_timeout_ms,
         10,
         60_000,
         "10 to 60000",
     ));
-    found.extend(stop_times(settings.drain_ms, settings.stop_limit_ms));
-    found.extend(between(
+    found.extend(check_stop_times(settings.drain_ms, settings.stop_limit_ms));
+    found.extend(check_range(
         "bulk_copies",
         settings.bulk_copies as u64,
         1,
         5,
         "1 to 5",
     ));
-    found.extend(gossip(settings.gossip_address));
+    found.extend(check_gossip_address(settings.gossip_address));
     found
 }
 
 /// Checks settings of a serving process.
-pub fn check_serve(settings: &Serve) -> Vec<Found> {
-    let mut found = common(&settings.cluster_key, &settings.log);
-    found.extend(stop_times(settings.drain_ms, settings.stop_limit_ms));
-    found.extend(gossip(settings.gossip_address));
+pub fn check_serve(settings: &Serve) -> Vec<InvalidField> {
+    let mut found = check_common(&settings.cluster_key, &settings.log);
+    found.extend(check_stop_times(settings.drain_ms, settings.stop_limit_ms));
+    found.extend(check_gossip_address(settings.gossip_address));
     let overage = (0.0..=1.0, "0 to 1");
     let window_s = (0.5..=3600.0, "0.5 to 3600");
     let slack = (0.0..=1e6, "0 to 1000000");
@@ -386,30 +386,30 @@
 }
 
 /// Checks settings of `bramley-batch`.
-pub fn check_batch(settings: &Batch) -> Vec<Found> {
-    let mut found = common(&settings.cluster_key, &settings.log);
-    found.extend(between(
+pub fn check_batch(settings: &Batch) -> Vec<InvalidField> {
+    let mut found = check_common(&settings.cluster_key, &settings.log);
+    found.extend(check_range(
         "bulk_copies",
         settings.bulk_copies as u64,
         1,
         5,
         "1 to 5",
     ));
-    found.extend(stop_limit(settings.stop_limit_ms));
+    found.extend(check_stop_limit(settings.stop_limit_ms));
     found
 }
 
 /// Checks settings of `bramley-bulk`.
-pub fn check_bulk(settings: &Bulk) -> Vec<Found> {
-    let mut found = common(&settings.cluster_key, &settings.log);
-    found.extend(between(
+pub fn check_bulk(settings: &Bulk) -> Vec<InvalidField> {
+    let mut found = check_common(&settings.cluster_key, &settings.log);
+    found.extend(check_range(
         "bulk_copies",
         settings.bulk_copies as u64,
         1,
         5,
         "1 to 5",
     ));
-    found.extend(between(
+    found.extend(check_range(
         "repair_ms",
         settings.repair_ms,
         100,
--- a/src/store.rs
+++ b/src/store.rs
@@ -21,7 +21,7 @@
 
 /// Base of the pause, growing with each attempt, while a lost answer is resolved. A few round trips
 /// of a healthy store, so that a write in flight has landed before the key is read again.
-const SETTLE_PAUSE: Duration = Duration::from_millis(30);
+const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(30);
 
 /// Why a call failed.
 #[derive(Debug, Snafu, Clone, PartialEq, Serialize, Deserialize)]
@@ -118,7 +118,7 @@
 }
 
 /// The future that a backend returns.
-pub type Pending = Pin<Box<dyn Future<Output = Result<Reply, Error>>>>;
+pub type ReplyFuture = Pin<Box<dyn Future<Output = Result<Reply, Error>>>>;
 
 /// Outcome of a transaction; a lost answer has been resolved by reading a key back.
 #[derive(Debug, Clone, PartialEq)]
@@ -148,13 +148,13 @@
 /// Client of a store with any backend.
 #[derive(Clone)]
 pub struct Store {
-    backend: Rc<dyn Fn(Call) -> Pending>,
+    backend: Rc<dyn Fn(Call) -> ReplyFuture>,
     observer: Rc<dyn Fn(EndedCall)>,
 }
 
 impl Store {
     /// Creates a client that sends its calls through `backend`.
-    pub fn new(backend: impl Fn(Call) -> Pending + 'static) -> Store {
+    pub fn new(backend: impl Fn(Call) -> ReplyFuture + 'static) -> Store {
         Store {
             backend: Rc::new(backend),
             observer: Rc::new(|_| {}),
@@ -261,7 +261,7 @@
                     Step::Lost => return Settled::Lost(found),
                     Step::Away => return Settled::Away(String::new()),
                     Step::Write | Step::Read => {
-                        tokio::time::sleep(commit.pause(SETTLE_PAUSE)).await
+                        tokio::time::sleep(commit.pause(COMMIT_RETRY_PAUSE)).await
                     }
                 }
             }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -20,7 +20,7 @@
 /// Largest datagram: fits into one packet, with room for tunnel headers.
 pub const DATAGRAM_BYTES: usize = 1400;
 /// Largest frame.
-pub const FRAME_BYTES: usize = 16 * 1024 * 1024;
+pub const FRAME_BYTES_MAX: usize = 16 * 1024 * 1024;
 const MAC_BYTES: usize = 16;
 
 /// Why a message was rejected.
@@ -134,7 +134,7 @@
 
     /// Decodes a message; the payload is parsed only after its MAC has been verified.
     pub fn open<T: DeserializeOwned>(&self, sealed: &[u8]) -> Result<T, Error> {
-        if sealed.len() < 1 + MAC_BYTES || sealed.len() > FRAME_BYTES {
+        if sealed.len() < 1 + MAC_BYTES || sealed.len() > FRAME_BYTES_MAX {
             return SizeSnafu.fail();
         }
         if sealed[0] != VERSION {
@@ -165,7 +165,7 @@
 /// Writes one frame: its length, then the sealed message.
 pub fn write_frame(out: &mut impl Write, key: &Key, message: &impl Serialize) -> Result<(), Error> {
     let sealed = key.seal(message)?;
-    if sealed.len() > FRAME_BYTES {
+    if sealed.len() > FRAME_BYTES_MAX {
         return SizeSnafu.fail();
     }
     let mut frame = (sealed.len() as u32).to_le_bytes().to_vec();
@@ -182,7 +182,7 @@
         .read_exact(&mut length)
         .map_err(|source| Error::Io { source })?;
     let length = u32::from_le_bytes(length) as usize;
-    if length > FRAME_BYTES {
+    if length > FRAME_BYTES_MAX {
         return SizeSnafu.fail();
     }
     let mut sealed = Vec::new();
