--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -201,7 +201,7 @@
             let current = entry.and_then(|entry| parse_head(&entry.value).ok());
             // The answer was lost, and another operator has since applied a version on top of this
             // one.
-            if standing
+            if current
                 .as_ref()
                 .is_some_and(|s| is_ancestor(s, head.version, head.nonce))
             {
