--- a/src/ctl/apply.rs
+++ b/src/ctl/apply.rs
@@ -23,8 +23,8 @@
         .about("Puts a configuration folder in force as a whole")
         .after_help(
             "Exit codes: 0 applied (with --wait: in force at each --entry), 1 applied but not in \
-             force everywhere in time, 2 the folder is wrong, 3 another operator's version stands, \
-             4 platform away and nothing applied, 5 not known whether it was applied.",
+             force everywhere in time, 2 the folder is wrong, 3 another operator's version is in force, \
+             4 platform unreachable and nothing applied, 5 not known whether it was applied.",
         )
         .arg(
             Arg::new("folder")
@@ -33,7 +33,7 @@
         )
         .arg(
             Arg::new("base").long("base").value_name("VERSION").help(
-                "The version that the folder was made from; by default the one that stands now",
+                "The version that the folder is based on; by default the one in force",
             ),
         )
         .arg(
--- a/src/ctl/diff.rs
+++ b/src/ctl/diff.rs
@@ -11,7 +11,9 @@
 pub fn usage() -> Command {
     Command::new("diff")
         .about("Shows what a configuration folder would change")
-        .after_help("Exit codes: 0 nothing, 1 something, 2 the folder is wrong, 4 platform away.")
+        .after_help(
+            "Exit codes: 0 nothing, 1 something, 2 the folder is wrong, 4 platform unreachable.",
+        )
         .arg(
             Arg::new("folder")
                 .required(true)
--- a/src/ctl/jobs.rs
+++ b/src/ctl/jobs.rs
@@ -10,8 +10,8 @@
 /// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("jobs")
-        .about("Lists batch jobs with their counts: those at the platform, or those that processes know")
-        .after_help("Exit codes: 0 listed, 4 platform away.")
+        .about("Lists batch jobs with their counts: those stored at the platform, or those that the processes report")
+        .after_help("Exit codes: 0 listed, 4 platform unreachable.")
         .arg(
             Arg::new("all")
                 .long("all")
--- a/src/ctl/quarantine.rs
+++ b/src/ctl/quarantine.rs
@@ -14,10 +14,10 @@
         .value_name("FINGERPRINT")
         .help("Let this request run again, at all processes");
     Command::new("quarantine")
-        .about("Shows which requests are held back or suspected since endpoints ended under them")
+        .about("Shows which requests are quarantined or suspected because endpoints ended while running them")
         .arg(release)
         .after_help(
-            "Exit codes: 0 nothing is held back, or released; 1 something is held back, or nothing was there to release; \
+            "Exit codes: 0 nothing is quarantined, or released; 1 something is quarantined, or there was nothing to release; \
              2 no fingerprint; 4 a process can't be reached.",
         )
 }
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -10,7 +10,7 @@
 /// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("status")
-        .about("Shows the version that stands and each process's state")
+        .about("Shows the version in force and each process's state")
         .after_help("Exit codes: 0 all have it and are ready, 1 some don't, 4 nothing answers.")
 }
 
--- a/src/store.rs
+++ b/src/store.rs
@@ -124,7 +124,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Settled {
     Won(Revision),
-    /// Another value stands at the transaction's first key.
+    /// Another value is stored at the transaction's first key.
     Lost(Option<Item>),
     /// The transaction had no effect.
     Away(String),
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -62,7 +62,7 @@
     Put { digest: String, content: Bytes },
     /// Returns this content.
     Get { digest: String },
-    /// Tells which of these digests are stored.
+    /// Returns which of these digests are stored.
     Has { digests: Vec<String> },
 }
 
