--- a/src/ctl/config.rs
+++ b/src/ctl/config.rs
@@ -1,4 +1,4 @@
-//! Turns arguments into what the commands read from and write to.
+//! Access to the command's arguments, the platform and the processes.
 
 use std::io::Read;
 use std::path::PathBuf;
@@ -12,18 +12,18 @@
 use crate::config::{load, State};
 use crate::platform::{ListedVm, Platform};
 
-const TIMEOUT: Duration = Duration::from_secs(3);
-const PAGE_BYTES: u64 = 64 * 1024 * 1024;
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const PAGE_BYTES_MAX: u64 = 64 * 1024 * 1024;
 
-/// The arguments of one command.
-pub struct Config<'a> {
+/// The parsed arguments of one subcommand.
+pub struct Arguments<'a> {
     matches: &'a ArgMatches,
 }
 
-impl<'a> Config<'a> {
+impl<'a> Arguments<'a> {
     /// Wraps the arguments.
-    pub fn new(matches: &'a ArgMatches) -> Config<'a> {
-        Config { matches }
+    pub fn new(matches: &'a ArgMatches) -> Arguments<'a> {
+        Arguments { matches }
     }
 
     /// Whether to print JSON.
@@ -41,7 +41,7 @@
         self.matches.get_one::<String>(name).map(String::as_str)
     }
 
-    /// A number of seconds.
+    /// An argument in seconds.
     pub fn seconds(&self, name: &str) -> Duration {
         Duration::from_secs(
             self.matches
@@ -51,7 +51,7 @@
         )
     }
 
-    /// The platform to speak with.
+    /// The platform's client; its address is required.
     pub fn platform(&self) -> Result<Platform, Failure> {
         let address = self.text("platform").ok_or_else(|| {
             Failure::new(
@@ -61,18 +61,18 @@
         })?;
         Ok(Platform::new(
             address.trim_start_matches("http://"),
-            TIMEOUT,
+            CALL_TIMEOUT,
         ))
     }
 
-    /// The platform, where one was named: a deployment with an adapter has another store, and its
-    /// processes tell what stands there.
-    pub fn some_platform(&self) -> Option<Platform> {
+    /// The platform's client, if an address was given. A deployment with an adapter has another
+    /// store, and its processes report what is in force.
+    pub fn optional_platform(&self) -> Option<Platform> {
         self.text("platform")?;
         self.platform().ok()
     }
 
-    /// The state in the folder that was named; its faults are printed.
+    /// Loads the state from the given folder and prints its faults.
     pub fn state(&self) -> Result<State, Failure> {
         let folder = PathBuf::from(self.text("folder").unwrap_or_default());
         load::folder(&folder).map_err(|faults| {
@@ -88,7 +88,7 @@
         })
     }
 
-    /// The operators' addresses that were named.
+    /// The operators' addresses given by `--entry`.
     pub fn entries(&self) -> Vec<String> {
         let named = self
             .matches
@@ -100,8 +100,8 @@
             .collect()
     }
 
-    /// Like [`Config::entries`]; at least one is needed.
-    pub fn some_entries(&self) -> Result<Vec<String>, Failure> {
+    /// Like [`Config::entries`], but at least one is required.
+    pub fn required_entries(&self) -> Result<Vec<String>, Failure> {
         let entries = self.entries();
         match entries.is_empty() {
             true => Err(Failure::new(code::USAGE, "--entry ADDRESS is needed")),
@@ -114,7 +114,7 @@
 pub fn listed(platform: &Platform) -> Result<Vec<ListedVm>, Failure> {
     platform
         .vms()
-        .map_err(|error| Failure::new(code::AWAY, error))
+        .map_err(|error| Failure::new(code::UNREACHABLE, error))
 }
 
 /// Reads a page of a process.
@@ -122,53 +122,55 @@
     call(address, "GET", path)
 }
 
-/// The rows of a page of all processes that were named, printed as JSON or one by one by `show`, which gets the VM's name too.
+/// Reads a page of each given process and returns its rows, printed as JSON or one by one by
+/// `show`, which also gets the VM's name.
 pub fn rows(
-    config: &Config<'_>,
+    arguments: &Arguments<'_>,
     path: &str,
     list: &str,
     show: impl Fn(&Value, &Value),
 ) -> Result<Vec<Value>, Failure> {
     let mut answers = Vec::new();
     let mut all = Vec::new();
-    for address in config.some_entries()? {
+    for address in arguments.required_entries()? {
         let answer = page(&address, path)?;
         let rows = answer[list].as_array().cloned().unwrap_or_default();
-        if !config.json() {
+        if !arguments.json() {
             rows.iter().for_each(|row| show(&answer["vm"], row));
         }
         all.extend(rows);
         answers.push(answer);
     }
-    if config.json() {
+    if arguments.json() {
         print(&answers);
     }
     Ok(all)
 }
 
-/// A value as people read it: text without quotes.
+/// A value for display: strings without quotes.
 pub fn text(value: &Value) -> String {
     value.as_str().map_or(value.to_string(), str::to_owned)
 }
 
-/// Has a process do something.
+/// Sends a command to a process.
 pub fn send(address: &str, path: &str) -> Result<Value, Failure> {
     call(address, "POST", path)
 }
 
 fn call(address: &str, method: &str, path: &str) -> Result<Value, Failure> {
-    let away = |error: String| Failure::new(code::AWAY, format!("{address}: {error}"));
+    let unreachable =
+        |error: String| Failure::new(code::UNREACHABLE, format!("{address}: {error}"));
     let response = ureq::request(method, &format!("http://{address}{path}"))
-        .timeout(TIMEOUT)
+        .timeout(CALL_TIMEOUT)
         .call()
-        .map_err(|error| away(error.to_string()))?;
+        .map_err(|error| unreachable(error.to_string()))?;
     let mut text = String::new();
     let read = response
         .into_reader()
-        .take(PAGE_BYTES)
+        .take(PAGE_BYTES_MAX)
         .read_to_string(&mut text);
-    read.map_err(|error| away(error.to_string()))?;
-    serde_json::from_str(&text).map_err(|error| away(error.to_string()))
+    read.map_err(|error| unreachable(error.to_string()))?;
+    serde_json::from_str(&text).map_err(|error| unreachable(error.to_string()))
 }
 
 /// Prints a value as JSON.
--- a/src/ctl/diff.rs
+++ b/src/ctl/diff.rs
@@ -1,17 +1,19 @@
-//! `diff`: what a folder would change.
+//! `diff`: what applying a folder would change.
 
 use clap::{Arg, Command};
 
-use super::config::{print, Config};
+use super::config::{print, Arguments};
 use super::{code, Failure, Outcome};
 use crate::config::diff::{states, Difference};
 use crate::config::{store, State};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("diff")
         .about("Shows what a configuration folder would change")
-        .after_help("Exit codes: 0 nothing, 1 something, 2 the folder is wrong, 4 platform away.")
+        .after_help(
+            "Exit codes: 0 nothing, 1 something, 2 the folder is wrong, 4 platform unreachable.",
+        )
         .arg(
             Arg::new("folder")
                 .required(true)
@@ -20,13 +22,13 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let state = config.state()?;
-    let standing = store::read(&config.platform()?);
-    let standing = standing.map_err(|error| Failure::new(code::AWAY, error))?;
-    let old = standing.map_or_else(State::default, |(_, versioned)| versioned.state);
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let state = arguments.state()?;
+    let current = store::read(&arguments.platform()?);
+    let current = current.map_err(|error| Failure::new(code::UNREACHABLE, error))?;
+    let old = current.map_or_else(State::default, |(_, versioned)| versioned.state);
     let differences = states(&old, &state);
-    match config.json() {
+    match arguments.json() {
         true => print(&differences),
         false => show(&differences),
     }
@@ -37,7 +39,7 @@
     })
 }
 
-/// Prints differences, a line each.
+/// Prints differences, one per line.
 pub fn show(differences: &[Difference]) {
     if differences.is_empty() {
         println!("no difference");
--- a/src/ctl/dump.rs
+++ b/src/ctl/dump.rs
@@ -1,11 +1,11 @@
-//! `dump`: the tables of a process.
+//! `dump`: the state of processes as JSON.
 
 use clap::Command;
 
-use super::config::{page, print, Config};
+use super::config::{page, print, Arguments};
 use super::{code, Outcome};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("dump")
         .about("Prints the state of each process as JSON")
@@ -13,8 +13,8 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    for address in config.some_entries()? {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    for address in arguments.required_entries()? {
         print(&page(&address, "/dump")?);
     }
     Ok(code::OK)
--- a/src/ctl/key.rs
+++ b/src/ctl/key.rs
@@ -1,12 +1,12 @@
-//! `key`: the digest of a workspace's key, for `workspaces.json`.
+//! `key`: the digest of a workspace's API key, for `workspaces.json`.
 
 use clap::{Arg, Command};
 
-use super::config::Config;
+use super::config::Arguments;
 use super::{code, Outcome};
 use crate::id;
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("key")
         .about("Prints the digest of a key, as it goes into workspaces.json")
@@ -18,10 +18,10 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
     println!(
         "{}",
-        id::digest(config.text("key").unwrap_or_default().as_bytes())
+        id::digest(arguments.text("key").unwrap_or_default().as_bytes())
     );
     Ok(code::OK)
 }
--- a/src/ctl/status.rs
+++ b/src/ctl/status.rs
@@ -1,46 +1,46 @@
-//! `status`: which version is in force, and where.
+//! `status`: the version in force and the state of each process.
 
 use clap::Command;
 use serde_json::{json, Value};
 
-use super::config::{page, print, Config};
+use super::config::{page, print, Arguments};
 use super::{code, Outcome};
 use crate::config::store;
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("status")
-        .about("Shows the version that stands and each process's state")
+        .about("Shows the version in force and each process's state")
         .after_help("Exit codes: 0 all have it and are ready, 1 some don't, 4 nothing answers.")
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    // Without the platform the processes still tell what they have.
-    let head = config.some_platform().map(|platform| {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    // Without the platform, the version is taken from the processes.
+    let head = arguments.optional_platform().map(|platform| {
         let found = store::read_head(&platform);
         found.map(|found| found.map(|(_, head)| head.version))
     });
     let rows: Vec<Value> = match &head {
-        Some(_) => config.entries(),
-        None => config.some_entries()?,
+        Some(_) => arguments.entries(),
+        None => arguments.required_entries()?,
     }
     .iter()
     .map(|address| row(address))
     .collect();
-    let told = rows.iter().filter_map(|row| row["version"].as_u64()).max();
+    let newest_reported = rows.iter().filter_map(|row| row["version"].as_u64()).max();
     let version = match &head {
         Some(Ok(version)) => *version,
         Some(Err(_)) => None,
-        // The newest that a process has; one that is behind differs from it.
-        None => told,
+        // The newest version of any process; a process with an older one differs from it.
+        None => newest_reported,
     };
-    let fine = |row: &Value| {
+    let is_up_to_date = |row: &Value| {
         row["ready"].as_bool() == Some(true)
             && version.is_none_or(|version| row["version"].as_u64() == Some(version))
     };
-    let all_fine = rows.iter().all(fine);
-    if config.json() {
+    let all_up_to_date = rows.iter().all(is_up_to_date);
+    if arguments.json() {
         print(&json!({ "version": version, "processes": rows }));
     } else {
         match (&head, version) {
@@ -65,8 +65,8 @@
         }
     }
     let answered = matches!(head, Some(Ok(_))) || rows.iter().any(|row| row["name"].is_string());
-    Ok(match (answered, all_fine) {
-        (false, _) => code::AWAY,
+    Ok(match (answered, all_up_to_date) {
+        (false, _) => code::UNREACHABLE,
         (true, false) => code::DIFFERS,
         (true, true) => code::OK,
     })
@@ -81,7 +81,7 @@
             "name": dump["vm"],
             "version": dump["rules"],
             "ready": dump["ready"],
-            // Itself is one.
+            // The process counts itself.
             "members_alive": dump["living_vms"].as_u64().unwrap_or(0) + 1,
         }),
         Ok(dump) => {
--- a/src/ctl/why.rs
+++ b/src/ctl/why.rs
@@ -1,12 +1,12 @@
-//! `why`: what waits, and for what.
+//! `why`: what is waiting, and for what.
 
 use clap::Command;
 use serde_json::Value;
 
-use super::config::{rows, text, Config};
+use super::config::{rows, text, Arguments};
 use super::{code, Outcome};
 
-/// The arguments.
+/// Defines the arguments.
 pub fn usage() -> Command {
     Command::new("why")
         .about("Shows what waits at each process, and for what")
@@ -14,9 +14,9 @@
 }
 
 /// Runs the command.
-pub fn run(config: &Config<'_>) -> Outcome {
-    let rows = rows(config, "/why", "waiting", show)?;
-    if rows.is_empty() && !config.json() {
+pub fn run(arguments: &Arguments<'_>) -> Outcome {
+    let rows = rows(arguments, "/why", "waiting", show)?;
+    if rows.is_empty() && !arguments.json() {
         println!("nothing waits");
     }
     Ok(if rows.is_empty() {
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs by `log` and `fern`: one JSON object a line, or readable text.
+//! Logging with `log` and `fern`: one JSON object per line, or plain text.
 
 use std::fmt::Arguments;
 use std::io::Write;
@@ -24,10 +24,11 @@
     }
 }
 
-/// Lines that may wait for the writer; a burst of some seconds at the highest rate met.
-const LINES_WAITING: usize = 4096;
-/// Lines of one second at the most; the rest of that second is counted and told in one line.
-const LINES_PER_S: u32 = 400;
+/// Lines that may be queued for the writer thread: a burst of some seconds at the highest rate
+/// seen.
+const QUEUED_LINES_MAX: usize = 4096;
+/// Lines logged in one second at most; the excess is counted and reported in one line.
+const LINES_PER_S_MAX: u32 = 400;
 
 /// Starts logging to standard error.
 pub fn start(settings: &Log, vm: &str, failure_domain: &str) {
@@ -36,29 +37,29 @@
     let _ = dispatch.apply();
 }
 
-/// Starts logging to standard output by a thread of its own.
+/// Starts logging to standard output from a separate thread.
 ///
-/// The failure: whoever reads the output stops reading, the pipe fills, and the event loop stands
-/// still in the middle of a log line. Lines that don't fit into the buffer are dropped and counted.
+/// Without that thread, a reader that stops reading would let the pipe fill up and block the event
+/// loop in the middle of a log line. Lines that don't fit into the queue are dropped and counted.
 pub fn start_bounded(settings: &Log, vm: &str, failure_domain: &str) {
-    let (sender, lines) = mpsc::sync_channel::<String>(LINES_WAITING);
-    let gate = Mutex::new(Gate::default());
+    let (sender, lines) = mpsc::sync_channel::<String>(QUEUED_LINES_MAX);
+    let limiter = Mutex::new(LineLimiter::default());
     let output = fern::Output::call(move |record| {
-        let Some(dropped) = lock(&gate).pass(clock::now()) else {
+        let Some(dropped) = lock(&limiter).admit(clock::now()) else {
             return;
         };
         if dropped > 0 {
-            let told = format!("{{\"message\":\"log lines dropped\",\"lines\":{dropped}}}");
-            // Full: this count is lost with the lines.
-            WAITING.fetch_add(1, Ordering::SeqCst);
-            if sender.try_send(told).is_err() {
-                WAITING.fetch_sub(1, Ordering::SeqCst);
+            let notice = format!("{{\"message\":\"log lines dropped\",\"lines\":{dropped}}}");
+            // If the queue is full, this count is lost too.
+            QUEUED_LINES.fetch_add(1, Ordering::SeqCst);
+            if sender.try_send(notice).is_err() {
+                QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
             }
         }
-        WAITING.fetch_add(1, Ordering::SeqCst);
+        QUEUED_LINES.fetch_add(1, Ordering::SeqCst);
         if sender.try_send(record.args().to_string()).is_err() {
-            WAITING.fetch_sub(1, Ordering::SeqCst);
-            lock(&gate).dropped += 1;
+            QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
+            lock(&limiter).dropped += 1;
         }
     });
     let dispatch = formatted(settings, vm, failure_domain).chain(output);
@@ -67,55 +68,56 @@
     let writer = thread::Builder::new().name("log".into());
     let spawned = writer.spawn(move || write_lines(&lines));
     if let Err(error) = spawned {
-        eprintln!("logging has no thread: {error}");
+        eprintln!("the log thread did not start: {error}");
     }
 }
 
 fn write_lines(lines: &mpsc::Receiver<String>) {
     let mut out = std::io::stdout().lock();
     while let Ok(line) = lines.recv() {
-        // Nobody is left to tell when the output is closed.
+        // When the output is closed, the error can't be reported anywhere.
         let _ = writeln!(out, "{line}");
-        WAITING.fetch_sub(1, Ordering::SeqCst);
+        QUEUED_LINES.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-/// Waits until the lines so far are written, for as long as `within`.
+/// Waits until the queued lines are written, for at most `within`.
 ///
-/// The failure: a busy machine ends the process before the writer's thread has had its turn, and the line
-/// that says how a planned stop ended is missing.
+/// Without this, a process on a busy machine may end before the writer thread has run, and the line
+/// that reports the end of a planned stop is lost.
 pub fn flush(within: Duration) {
     let until = clock::now() + within;
-    while WAITING.load(Ordering::SeqCst) > 0 && clock::now() < until {
-        clock::sleep(FLUSH_LOOK);
+    while QUEUED_LINES.load(Ordering::SeqCst) > 0 && clock::now() < until {
+        clock::sleep(FLUSH_CHECK_INTERVAL);
     }
 }
 
-/// Lines that are not written yet.
-static WAITING: AtomicUsize = AtomicUsize::new(0);
-/// Time between two looks at the lines that are not written yet.
-const FLUSH_LOOK: Duration = Duration::from_millis(2);
+/// Lines that are queued and not yet written.
+static QUEUED_LINES: AtomicUsize = AtomicUsize::new(0);
+/// Interval between checks for unwritten lines.
+const FLUSH_CHECK_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Bounds the lines of each second.
+/// Limits the number of lines in each second.
 #[derive(Default)]
-struct Gate {
+struct LineLimiter {
     second: u64,
-    passed: u32,
+    admitted: u32,
     dropped: u32,
 }
 
-impl Gate {
-    /// Whether a line passes, and then how many were dropped before it.
-    fn pass(&mut self, now: Duration) -> Option<u32> {
+impl LineLimiter {
+    /// Returns the number of lines dropped since the previous line, or `None` if this line is
+    /// dropped.
+    fn admit(&mut self, now: Duration) -> Option<u32> {
         if now.as_secs() != self.second {
             self.second = now.as_secs();
-            self.passed = 0;
+            self.admitted = 0;
         }
-        if self.passed >= LINES_PER_S {
+        if self.admitted >= LINES_PER_S_MAX {
             self.dropped += 1;
             return None;
         }
-        self.passed += 1;
+        self.admitted += 1;
         Some(std::mem::take(&mut self.dropped))
     }
 }
