--- a/soak/src/callers.rs
+++ b/soak/src/callers.rs
@@ -7,7 +7,7 @@
 
 use bramleyseam::clock;
 use bramleyseam::util::lock;
-use bramleyseam_platform_standin::caller::{agent, ask_by, end, results, submit};
+use bramleyseam_platform_standin::caller::{agent, cancel, request_stream_with, results, submit};
 use bramleyseam_platform_standin::fleet::Fleet;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -77,7 +77,7 @@
                 connection = agent();
             }
             let sent_at = clock::now();
-            let answer = ask_by(&connection, self.ledger.vms[vm], path, &id);
+            let answer = request_stream_with(&connection, self.ledger.vms[vm], path, &id);
             let request = OnlineRequest {
                 id,
                 repeatable,
@@ -126,7 +126,7 @@
 
     fn cancel(&self, job: &str, rng: &mut SmallRng) {
         let vm = self.ledger.vms[rng.random_range(0..self.vms)];
-        let ended = end(vm, job).is_some_and(|answer| answer.status == 200);
+        let ended = cancel(vm, job).is_some_and(|answer| answer.status == 200);
         if let (true, Some(record)) = (ended, lock(&self.ledger.jobs).get_mut(job)) {
             record.cancelled_at = Some(clock::now());
         }
@@ -171,7 +171,7 @@
     if answer.status == 404 {
         ledger.record_violation(now, format!("VM {vm} says that there is no job {job}"));
     }
-    if answer.status != 200 || !answer.whole {
+    if answer.status != 200 || !answer.complete {
         return false;
     }
     let page = answer.json();
--- a/soak/src/checks.rs
+++ b/soak/src/checks.rs
@@ -5,9 +5,9 @@
 
 use bramleyseam::clock;
 use bramleyseam::util::lock;
-use bramleyseam_platform_standin::caller::{ask, item_id};
-use bramleyseam_platform_standin::endpoint::{event_data, whole_text, Run};
-use bramleyseam_platform_standin::fleet::{wait, Fleet};
+use bramleyseam_platform_standin::caller::{item_id, request_stream};
+use bramleyseam_platform_standin::endpoint::{complete_text, event_data, Run};
+use bramleyseam_platform_standin::fleet::{wait_until, Fleet};
 
 use super::callers::{accepted_jobs, read_results};
 use super::ledger::{InjectedFault, Job, Ledger, OnlineRequest};
@@ -52,21 +52,21 @@
 
 /// Every VM serves requests, by the newest configuration.
 fn check_recovered(fleet: &Fleet, ledger: &Ledger) {
-    let newest = fleet.newest_rules();
+    let newest = fleet.newest_config();
     let routes = newest["routes"].as_array().cloned().unwrap_or_default();
     let prefixes = routes.iter().filter_map(|route| route["prefix"].as_str());
     let added: Vec<&str> = prefixes.filter(|p| p.starts_with("/added")).collect();
     for vm in 0..fleet.vms.len() {
         let serves = |path: &str| {
             let id = format!("end-{vm}{path}{:?}", clock::now());
-            let seen = ask(ledger.vms[vm], path, &id.replace('/', "_"));
-            seen.is_some_and(|seen| seen.status == 200 && seen.whole)
+            let seen = request_stream(ledger.vms[vm], path, &id.replace('/', "_"));
+            seen.is_some_and(|seen| seen.status == 200 && seen.complete)
         };
-        if !wait(RECOVERY_TIMEOUT, || serves("/query/one")) {
+        if !wait_until(RECOVERY_TIMEOUT, || serves("/query/one")) {
             ledger.record_violation(clock::now(), format!("VM {vm} does not serve again"));
         }
         for prefix in &added {
-            if !wait(RECOVERY_TIMEOUT, || serves(&format!("{prefix}one"))) {
+            if !wait_until(RECOVERY_TIMEOUT, || serves(&format!("{prefix}one"))) {
                 ledger.record_violation(clock::now(), format!("VM {vm} does not know {prefix}"));
             }
         }
@@ -80,9 +80,9 @@
         let jobs = lock(&ledger.jobs);
         jobs[job].cancelled_at.is_none() && jobs[job].results.len() < jobs[job].items
     };
-    wait(Duration::from_millis(1100), || false);
+    wait_until(Duration::from_millis(1100), || false);
     for job in accepted_jobs(ledger) {
-        let done = wait(RECOVERY_TIMEOUT, || {
+        let done = wait_until(RECOVERY_TIMEOUT, || {
             read_results(ledger, &job, 0, results(&job));
             !open(&job)
         });
@@ -91,7 +91,7 @@
             ledger.record_violation(clock::now(), format!("job {job} stays at {listed} results"));
         }
         for vm in 0..fleet.vms.len() {
-            if !wait(RECOVERY_TIMEOUT, || read_results(ledger, &job, vm, 0)) {
+            if !wait_until(RECOVERY_TIMEOUT, || read_results(ledger, &job, vm, 0)) {
                 ledger.record_violation(clock::now(), format!("VM {vm} can't tell of job {job}"));
             }
         }
@@ -133,7 +133,7 @@
     if !expected.iter().all(is_own) {
         violation("another's answer");
     }
-    match seen.whole {
+    match seen.complete {
         true if expected.len() as u64 != ANSWER_EVENTS => {
             violation("an answer that only looks whole")
         }
@@ -174,7 +174,7 @@
         if !listed.insert(&result.item) {
             ledger.record_violation(now, format!("item {} is listed twice", result.item));
         }
-        let whole = result.text == whole_text(&result.item, ANSWER_EVENTS);
+        let whole = result.text == complete_text(&result.item, ANSWER_EVENTS);
         if result.state == "completed" && !whole {
             let text = result.text.replace('\n', " ");
             ledger.record_violation(now, format!("item {} has the text {text}", result.item));
@@ -195,7 +195,7 @@
         let Some(ended_at) = job.cancelled_at else {
             continue;
         };
-        let late = |run: &&Run| run.at > ended_at + CANCELLED_AFTER;
+        let late = |run: &&Run| run.started_at > ended_at + CANCELLED_AFTER;
         let unplanned = |injected: &InjectedFault| !injected.fault.is_planned();
         let no_fault =
             !ledger.had_fault(ended_at.saturating_sub(FAULT_EFFECT_TIME), now, unplanned);
@@ -220,10 +220,13 @@
             continue;
         }
         let endpoint = &fleet.endpoints[drain.target];
-        let late = endpoint.runs().into_iter().find(|run| run.at > until);
+        let late = endpoint
+            .runs()
+            .into_iter()
+            .find(|run| run.started_at > until);
         if let Some(run) = late {
             let what = format!("{} reached {} after it had left", run.id, endpoint.id);
-            ledger.record_violation(run.at, what);
+            ledger.record_violation(run.started_at, what);
         }
     }
 }
--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -6,7 +6,9 @@
 use bramleyseam::standin::relay::{Mode, Relay, Silence};
 use bramleyseam::util::lock;
 use bramleyseam_platform_standin::endpoint::{Behaviour, Endpoint};
-use bramleyseam_platform_standin::fleet::{entry_key, register_at, route, rules, set_tries, Fleet};
+use bramleyseam_platform_standin::fleet::{
+    config, entry_key, register_at, route, set_attempts_max, Fleet,
+};
 use rustix::process::Signal;
 use serde_json::{json, Value};
 
@@ -92,7 +94,7 @@
         for endpoint in &self.fleet.endpoints {
             endpoint.behave(|b| {
                 *b = Behaviour {
-                    pause: b.pause,
+                    event_interval: b.event_interval,
                     ..Behaviour::default()
                 }
             });
@@ -134,29 +136,43 @@
             Fault::VmPaused => self.fleet.vms[target].signal(Signal::STOP),
             Fault::VmStopped => self.fleet.vms[target].signal(Signal::TERM),
             Fault::VmReloaded => self.fleet.vms[target].signal(Signal::HUP),
-            Fault::StoreAway => self.fleet.store.behave(|b| b.away = true),
-            Fault::StoreLosesAnswers => self.fleet.store.behave(|b| b.lose_commits = FAILED_CALLS),
-            Fault::StoreRefuses => self.fleet.store.behave(|b| b.refuse_commits = FAILED_CALLS),
-            Fault::StoreDeaf => self.fleet.store.behave(|b| b.deaf = true),
+            Fault::StoreAway => self.fleet.store.behave(|b| b.unavailable = true),
+            Fault::StoreLosesAnswers => self
+                .fleet
+                .store
+                .behave(|b| b.lost_commits_left = FAILED_CALLS),
+            Fault::StoreRefuses => self
+                .fleet
+                .store
+                .behave(|b| b.refused_commits_left = FAILED_CALLS),
+            Fault::StoreDeaf => self.fleet.store.behave(|b| b.watches_silent = true),
             Fault::StoreForgets => self.fleet.store.compact(),
-            Fault::StoreLinkCut => self.fleet.vms[target].store.cut(true),
-            Fault::StoreLinkSilent => self.fleet.vms[target].store.set(Mode::Silent),
-            Fault::StoreLinkOneWay => self.fleet.vms[target].store.set(Mode::SilentDown),
-            Fault::StoreLinkSlow => self.fleet.vms[target].store.set(Mode::Delayed(LINK_DELAY)),
+            Fault::StoreLinkCut => self.fleet.vms[target].store_link.cut(true),
+            Fault::StoreLinkSilent => self.fleet.vms[target].store_link.set(Mode::Silent),
+            Fault::StoreLinkOneWay => self.fleet.vms[target].store_link.set(Mode::SilentDown),
+            Fault::StoreLinkSlow => self.fleet.vms[target]
+                .store_link
+                .set(Mode::Delayed(LINK_DELAY)),
             Fault::EngineSilent => self.fleet.endpoints[target].behave(|b| b.silent = true),
             Fault::EngineBreaks => self.fleet.endpoints[target].behave(|b| {
                 b.break_after = Some(2);
-                b.breaks = WRONG_ANSWERS;
+                b.breaks_left = WRONG_ANSWERS;
             }),
-            Fault::EngineFull => self.fleet.endpoints[target].behave(|b| b.refuse = WRONG_ANSWERS),
-            Fault::EngineFails => self.fleet.endpoints[target].behave(|b| b.fail = WRONG_ANSWERS),
+            Fault::EngineFull => {
+                self.fleet.endpoints[target].behave(|b| b.refusals_left = WRONG_ANSWERS)
+            }
+            Fault::EngineFails => {
+                self.fleet.endpoints[target].behave(|b| b.failures_left = WRONG_ANSWERS)
+            }
             Fault::EngineCrosses => {
-                self.fleet.endpoints[target].behave(|b| b.cross = WRONG_ANSWERS)
+                self.fleet.endpoints[target].behave(|b| b.crossed_left = WRONG_ANSWERS)
             }
             Fault::EngineUnsigned => {
-                self.fleet.endpoints[target].behave(|b| b.unsigned = WRONG_ANSWERS)
+                self.fleet.endpoints[target].behave(|b| b.unsigned_left = WRONG_ANSWERS)
+            }
+            Fault::EngineSkips => {
+                self.fleet.endpoints[target].behave(|b| b.gaps_left = WRONG_ANSWERS)
             }
-            Fault::EngineSkips => self.fleet.endpoints[target].behave(|b| b.gaps = WRONG_ANSWERS),
             Fault::EngineLinkOneWay => self.fleet.links[target].set(Mode::SilentUp),
             Fault::EngineLinkSlow => self.fleet.links[target].set(Mode::Delayed(LINK_DELAY)),
             Fault::EngineLinkReset => self.fleet.links[target].reset(),
@@ -165,17 +181,17 @@
             Fault::RulesChange => self.change_rules(),
             Fault::WatchesSilent => {
                 for vm in &self.fleet.vms {
-                    vm.store.silence_idle(WATCH_IDLE_TIME, Silence::Both);
+                    vm.store_link.silence_idle(WATCH_IDLE_TIME, Silence::Both);
                 }
             }
             Fault::WatchSilentOneWay => {
                 self.fleet.vms[target]
-                    .store
+                    .store_link
                     .silence_idle(WATCH_IDLE_TIME, Silence::Down);
             }
             Fault::StoreLinkForgets => {
-                self.fleet.vms[target].store.silence_open();
-                self.fleet.vms[target].store.silence_next(1);
+                self.fleet.vms[target].store_link.silence_open();
+                self.fleet.vms[target].store_link.silence_next(1);
             }
             Fault::EngineIdleSilent => {
                 self.fleet.links[target].silence_idle(ENGINE_IDLE_TIME, Silence::Both);
@@ -189,7 +205,7 @@
             Fault::VmKilled => self.start(target),
             Fault::VmPaused => self.fleet.vms[target].signal(Signal::CONT),
             Fault::VmStopped => {
-                let ended = self.fleet.vms[target].wait_end(STOP_TIMEOUT);
+                let ended = self.fleet.vms[target].wait_exit(STOP_TIMEOUT);
                 if ended != Some(true) {
                     let what = format!("VM {target} did not end well: {ended:?}");
                     self.ledger.record_violation(clock::now(), what);
@@ -197,16 +213,16 @@
                 }
                 self.start(target);
             }
-            Fault::StoreAway => self.fleet.store.behave(|b| b.away = false),
+            Fault::StoreAway => self.fleet.store.behave(|b| b.unavailable = false),
             Fault::StoreDeaf => {
                 // As a real store does after a compaction: changes that were not sent to the watch
                 // are lost to it.
                 self.fleet.store.compact();
-                self.fleet.store.behave(|b| b.deaf = false);
+                self.fleet.store.behave(|b| b.watches_silent = false);
             }
-            Fault::StoreLinkCut => self.fleet.vms[target].store.cut(false),
+            Fault::StoreLinkCut => self.fleet.vms[target].store_link.cut(false),
             Fault::StoreLinkSilent | Fault::StoreLinkOneWay | Fault::StoreLinkSlow => {
-                self.fleet.vms[target].store.set(Mode::Open);
+                self.fleet.vms[target].store_link.set(Mode::Open);
             }
             Fault::EngineSilent => self.fleet.endpoints[target].behave(|b| b.silent = false),
             Fault::EngineEnds => self.replace(target),
@@ -246,7 +262,7 @@
                 return self.ledger.record_violation(clock::now(), what);
             }
         };
-        next.behave(|b| b.pause = EVENT_PAUSE);
+        next.behave(|b| b.event_interval = EVENT_PAUSE);
         register_at(&self.fleet.store, &next, link.address, "ready");
         self.fleet.endpoints[index] = next;
         self.fleet.links[index] = link;
@@ -268,7 +284,7 @@
         self.version += 3;
         self.routes.push(format!("/added-{}/", self.version));
         let changed = rules_with(self.version, &self.routes);
-        self.fleet.put_rules(&changed);
+        self.fleet.put_config(&changed);
         self.written.push((self.version, clock::now()));
     }
 
@@ -286,7 +302,7 @@
                     continue;
                 }
                 let rules = process.dump()["rules"].as_u64().unwrap_or(0);
-                if rules < version {
+                if config < version {
                     let what = format!("{} has rules {rules} and not {version}", process.name);
                     self.ledger.record_violation(now, what);
                 }
@@ -298,8 +314,8 @@
 /// A configuration with added routes. Requests that must not be repeated may have several attempts,
 /// so that a second run would show.
 pub fn rules_with(version: u64, added: &[String]) -> Value {
-    let mut changed = rules(version);
-    set_tries(&mut changed, "renew", 3);
+    let mut changed = config(version);
+    set_attempts_max(&mut changed, "renew", 3);
     for prefix in added {
         let added = route(prefix, prefix, json!({ "resumable": true }));
         if let Some(routes) = changed["routes"].as_array_mut() {
--- a/soak/src/ledger.rs
+++ b/soak/src/ledger.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bramleyseam::util::lock;
-use bramleyseam_platform_standin::caller::Seen;
+use bramleyseam_platform_standin::caller::Response;
 use bramleyseam_platform_standin::fleet::Fleet;
 
 use super::plan::Fault;
@@ -20,7 +20,7 @@
     pub sent_at: Duration,
     pub ended_at: Duration,
     /// `None` when no answer came.
-    pub answer: Option<Seen>,
+    pub answer: Option<Response>,
 }
 
 /// A result of a job as it was read first.
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -37,11 +37,11 @@
 pub fn run(program: &str, seed: u64, size: &Size) -> io::Result<Report> {
     let mut fleet = Fleet::start_linked(program, size.vms, size.endpoints)?;
     for endpoint in &fleet.endpoints {
-        endpoint.behave(|b| b.pause = faults::EVENT_PAUSE);
+        endpoint.behave(|b| b.event_interval = faults::EVENT_PAUSE);
     }
     let rules = faults::rules_with(faults::FIRST_RULES, &[]);
-    fleet.put_rules(&rules);
-    if !fleet.wait_rules(faults::FIRST_RULES) {
+    fleet.put_config(&rules);
+    if !fleet.wait_config(faults::FIRST_RULES) {
         return Err(io::Error::other("the first rules are not taken"));
     }
     let steps = plan::draw(seed, size);
@@ -76,7 +76,7 @@
         .iter()
         .for_each(|vm| vm.signal(rustix::process::Signal::TERM));
     let ended = |vm: &mut bramleyseam_platform_standin::fleet::Vm| {
-        let ended = vm.wait_end(faults::STOP_TIMEOUT);
+        let ended = vm.wait_exit(faults::STOP_TIMEOUT);
         (ended != Some(true)).then(|| format!("{} did not end well: {ended:?}", vm.name))
     };
     fleet.vms.iter_mut().filter_map(ended).collect()
--- a/src/batch/host.rs
+++ b/src/batch/host.rs
@@ -25,7 +25,7 @@
 };
 use crate::engine::Engines;
 use crate::id::{self, EndpointId, Name, OwnerId};
-use crate::platform::{Platform, Settled};
+use crate::platform::{CommitOutcome, Platform};
 use crate::segments::Segments;
 use crate::settings::{self, ms};
 use crate::util::{self, lock};
@@ -179,7 +179,7 @@
                 }
                 self.run_actions(actions);
                 self.publish_status();
-                if self.stopping && self.batch.idle() {
+                if self.stopping && self.batch.has_no_runs() {
                     let _ = done.send(());
                     return;
                 }
@@ -195,7 +195,7 @@
             Message::Linked => {
                 self.linked = true;
                 self.reported_owner = None;
-                handle(&mut self.batch, Event::Leave(self.stopping));
+                handle(&mut self.batch, Event::Drain(self.stopping));
             }
             Message::Unlinked => {
                 // Without the entry process the needs of online requests are unknown: start no more
@@ -214,7 +214,7 @@
             }
             Message::Stop => {
                 self.stopping = true;
-                handle(&mut self.batch, Event::Leave(true));
+                handle(&mut self.batch, Event::Drain(true));
             }
             Message::Entry(ToBatch::Config(versioned)) => {
                 let endpoints = versioned.state.endpoints.iter();
@@ -236,11 +236,11 @@
                 let views = self.job_views(now);
                 handle(&mut self.batch, Event::Jobs(views));
             }
-            Message::Entry(ToBatch::Crew(crew)) => handle(&mut self.batch, Event::Crew(crew)),
+            Message::Entry(ToBatch::Peers(crew)) => handle(&mut self.batch, Event::Peers(crew)),
             Message::Entry(ToBatch::Windows(windows)) => {
                 handle(&mut self.batch, Event::Windows(windows));
             }
-            Message::Entry(ToBatch::Leave) => handle(&mut self.batch, Event::Leave(true)),
+            Message::Entry(ToBatch::Leave) => handle(&mut self.batch, Event::Drain(true)),
         }
     }
 
@@ -261,7 +261,7 @@
             .retain(|key, (run, _)| batch.runs.get(key).is_some_and(|r| r.id == *run));
         // The VM may stop once this process is draining and holds no work; 0 tells the entry
         // process so.
-        let busy = !batch.leaving() || !batch.idle();
+        let busy = !batch.is_draining() || !batch.has_no_runs();
         let ready = if busy { batch.owner() } else { 0 };
         if self.linked && self.reported_owner != Some(ready) {
             self.reported_owner = Some(ready);
@@ -281,7 +281,7 @@
                     waits_for: run.waits_for(),
                 })
                 .collect(),
-            in_flight: batch.flights.len(),
+            in_flight: batch.attempts.len(),
             windows: batch.slots.values().map(|slot| slot.window).sum(),
         };
         *lock(&self.status) = status;
@@ -291,7 +291,7 @@
         for action in actions {
             match action {
                 Action::Start {
-                    flight,
+                    attempt: flight,
                     key,
                     epoch,
                     item,
@@ -299,7 +299,7 @@
                 } => {
                     self.start_attempt(flight, &key, epoch, item, endpoint);
                 }
-                Action::Cancel { flight } => self.cancel(flight),
+                Action::Cancel { attempt: flight } => self.cancel(flight),
                 other => self.queue_task(other),
             }
         }
@@ -356,7 +356,7 @@
         let (Some(chunk_items), Some(address)) = (chunk_items, address) else {
             let end = items::not_sent("its endpoint is not configured any more");
             let _ = shared.sender.send(Message::Event(Event::Ended {
-                flight: attempt_id,
+                attempt: attempt_id,
                 end,
             }));
             return;
@@ -390,14 +390,14 @@
                     end => end,
                 };
                 let _ = shared.sender.send(Message::Event(Event::Ended {
-                    flight: attempt_id,
+                    attempt: attempt_id,
                     end,
                 }));
             });
         if spawned.is_err() {
             let end = items::not_sent("no thread for it");
             let _ = sender.send(Message::Event(Event::Ended {
-                flight: attempt_id,
+                attempt: attempt_id,
                 end,
             }));
         }
@@ -502,7 +502,7 @@
         let record = self.file(&file)?;
         let segment = record.segments.get(key.chunk as usize)?;
         let content = self.segments.load(segment).ok()?;
-        Some(items::plan(content, &config.state))
+        Some(items::parse_chunk(content, &config.state))
     }
 
     fn store(&self, output: &[Bytes], errors: &[Bytes]) -> Option<Vec<ResultSegment>> {
@@ -551,9 +551,9 @@
         let until = clock::now() + COMMIT_TIMEOUT;
         // A conflict needs no retry: either another VM ended the job from the same chunks, or the
         // job was cancelled and the next check ends it.
-        if let Settled::Won(_) = self
-            .platform
-            .commit(&job_key(job), entry.revision, &text, until)
+        if let CommitOutcome::Won(_) =
+            self.platform
+                .commit(&job_key(job), entry.revision, &text, until)
         {
             let state: &'static str = ended.state.into();
             info!(job = job, state = state; "job ended");
@@ -565,7 +565,7 @@
 /// whole.
 fn split_results(content: Bytes, inline: bool) -> Vec<(Bytes, u32)> {
     let most = if inline {
-        crate::segments::INLINE_BYTES
+        crate::segments::INLINE_BYTES_MAX
     } else {
         usize::MAX
     };
--- a/src/batch/items.rs
+++ b/src/batch/items.rs
@@ -44,7 +44,7 @@
 }
 
 /// Parses the lines of a chunk. An invalid line becomes an item that fails with an error result.
-pub fn plan(content: Bytes, state: &State) -> ChunkItems {
+pub fn parse_chunk(content: Bytes, state: &State) -> ChunkItems {
     let mut items = ChunkItems {
         planned: Vec::new(),
         requests: Vec::new(),
@@ -180,8 +180,8 @@
             }
         }
         Err(fault) => AttemptEnd::Failed {
-            reach: fault.reach,
-            died: fault.died,
+            reach: fault.stage,
+            died: fault.connection_lost,
             detail: fault.detail,
         },
     }
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -20,13 +20,13 @@
 use crate::config::{diff, store, State, Versioned};
 use crate::decide::batch::place::{BatchPeers, ServiceWorkers};
 use crate::decide::batch::{Action, AttemptEnd, Batch, Event, ItemWork, JobView, PlannedItem};
-use crate::decide::commit::Answer;
+use crate::decide::commit::WriteOutcome;
 use crate::decide::endpoints::{EndpointReport, Endpoints};
 use crate::decide::fleet::{self, Fleet as FleetTable};
 use crate::decide::jobs::{ContentLocation, JobState, ResultSegment, Segment};
 use crate::decide::members::VmStatus;
 use crate::decide::routing::{choose, Policy, RouteQuery};
-use crate::entry::plan::Plan as EntryPlan;
+use crate::entry::config_index::ConfigIndex as EntryPlan;
 use crate::id;
 use crate::metrics::resident_bytes;
 use crate::standin::fleet::{call, chat_lines, Fleet, Plan, KEYS};
@@ -317,7 +317,7 @@
 fn memory() -> Value {
     let content: bytes::Bytes = chat_lines(4096, 16).into();
     let one = state(1, 1);
-    let item = bytes_each(4096, || items::plan(content.clone(), &one));
+    let item = bytes_each(4096, || items::parse_chunk(content.clone(), &one));
     let mut rows = Vec::new();
     for count in [10_000, 20_000, 40_000, 80_000] {
         rows.push(json!({
@@ -362,17 +362,17 @@
         .map(|at| job_view(&format!("batch_{at:032}"), 4))
         .collect();
     let peers = BatchPeers {
-        own: 1,
-        own_domain: 1,
+        local_vm: 1,
+        local_domain: 1,
         vms: vec![1],
         owners: vec![1],
-        hands: vec![ServiceWorkers {
+        workers: vec![ServiceWorkers {
             service: SERVICE,
             vms: vec![1],
             domains: vec![1],
         }],
     };
-    let mut pending = vec![Event::Crew(peers), Event::Jobs(views)];
+    let mut pending = vec![Event::Peers(peers), Event::Jobs(views)];
     pending.push(Event::Windows(
         (0..6).map(|at| (at, SERVICE, window)).collect(),
     ));
@@ -399,7 +399,7 @@
             revision += 1;
             match action {
                 Action::Write { key, run, .. } => {
-                    let answer = Answer::Won(revision);
+                    let answer = WriteOutcome::Won(revision);
                     pending.push(Event::Written { key, run, answer });
                 }
                 Action::Read { key, run } => {
@@ -426,10 +426,15 @@
                     }];
                     pending.push(Event::Stored { key, run, segments });
                 }
-                Action::Start { flight, .. } => {
+                Action::Start {
+                    attempt: flight, ..
+                } => {
                     done += 1;
                     let end = AttemptEnd::Done(bytes::Bytes::from_static(b"{}"));
-                    pending.push(Event::Ended { flight, end });
+                    pending.push(Event::Ended {
+                        attempt: flight,
+                        end,
+                    });
                 }
                 Action::Cancel { .. } | Action::Finish { .. } => {}
             }
--- a/src/bulk.rs
+++ b/src/bulk.rs
@@ -21,7 +21,7 @@
 use crate::pages::{self, Page};
 use crate::peer;
 use crate::settings::{self, ms};
-use crate::wire::{Key, PeerAsk, PeerReply};
+use crate::wire::{Key, PeerReply, PeerRequest};
 
 const THREADS: usize = 2;
 const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
@@ -122,17 +122,17 @@
     Ok(())
 }
 
-fn answer(store: &Store, ask: PeerAsk) -> PeerReply {
+fn answer(store: &Store, ask: PeerRequest) -> PeerReply {
     match ask {
-        PeerAsk::Put { digest, content } => match store.put(&digest, &content) {
-            Ok(()) => PeerReply::Kept,
+        PeerRequest::Put { digest, content } => match store.put(&digest, &content) {
+            Ok(()) => PeerReply::Stored,
             Err(error) => {
                 warn!("piece refused: {error}");
                 PeerReply::Refused(error.to_string())
             }
         },
-        PeerAsk::Get { digest } => PeerReply::Content(store.get(&digest)),
-        PeerAsk::Has { digests } => {
+        PeerRequest::Get { digest } => PeerReply::Content(store.get(&digest)),
+        PeerRequest::Has { digests } => {
             PeerReply::Has(digests.iter().map(|digest| store.has(digest)).collect())
         }
         _ => PeerReply::Refused("this process stores content only".into()),
--- a/src/bulk/repair.rs
+++ b/src/bulk/repair.rs
@@ -7,7 +7,7 @@
 use crate::id::{self, ranked, Name};
 use crate::peer;
 use crate::settings::{Bulk, BulkPeer};
-use crate::wire::{Key, PeerAsk, PeerReply};
+use crate::wire::{Key, PeerReply, PeerRequest};
 
 const PEER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Digests per request.
@@ -40,7 +40,7 @@
     others: &[&BulkPeer],
     digests: &[String],
 ) -> usize {
-    let ask = PeerAsk::Has {
+    let ask = PeerRequest::Has {
         digests: digests.to_vec(),
     };
     let answers: Vec<(&BulkPeer, Vec<bool>)> = others
@@ -106,13 +106,13 @@
         if domains.len() >= copies {
             break;
         }
-        let ask = PeerAsk::Put {
+        let ask = PeerRequest::Put {
             digest: digest.to_owned(),
             content: content.clone(),
         };
         if matches!(
             peer::call(peer.address, key, &ask, PEER_TIMEOUT),
-            Ok(PeerReply::Kept)
+            Ok(PeerReply::Stored)
         ) {
             domains.insert(&peer.failure_domain);
             copied += 1;
--- a/src/config/store.rs
+++ b/src/config/store.rs
@@ -10,7 +10,7 @@
 use super::{Ancestor, Bodies, Head, Kind, State, Versioned};
 use crate::clock;
 use crate::id::{self, ConfigVersion, Revision};
-use crate::platform::{self, Platform, Settled};
+use crate::platform::{self, CommitOutcome, Platform};
 use crate::util;
 
 /// Key of the head; it has the watched prefix.
@@ -43,7 +43,7 @@
 
 /// Outcome of an apply.
 #[derive(Debug)]
-pub enum Applied {
+pub enum ApplyOutcome {
     Won(Head),
     /// Another operator's version is in force.
     Lost(Option<Head>),
@@ -156,7 +156,7 @@
     state: &State,
     by: &str,
     timeout: Duration,
-) -> Result<Applied, Error> {
+) -> Result<ApplyOutcome, Error> {
     let until = clock::now() + timeout;
     let (bodies, contents) = bodies(state)?;
     let old: Vec<String> = base
@@ -166,10 +166,10 @@
     for (digest, content) in contents.iter().filter(|(digest, _)| !old.contains(digest)) {
         // The key is the content's digest, so a body that another writer stored is the same.
         match platform.commit(&body_key(digest), 0, content, until) {
-            Settled::Won(_) | Settled::Lost(_) => {}
-            Settled::Away => return Err(Error::Away),
+            CommitOutcome::Won(_) | CommitOutcome::Lost(_) => {}
+            CommitOutcome::Away => return Err(Error::Away),
             // The head has not been written yet.
-            Settled::Unknown => return Err(Error::Away),
+            CommitOutcome::Unknown => return Err(Error::Away),
         }
     }
     let (expect, version, ancestors) = match base {
@@ -196,8 +196,8 @@
     };
     let text = serde_json::to_string(&head).context(HeadSnafu)?;
     match platform.commit(HEAD_KEY, expect, &text, until) {
-        Settled::Won(_) => Ok(Applied::Won(head)),
-        Settled::Lost(entry) => {
+        CommitOutcome::Won(_) => Ok(ApplyOutcome::Won(head)),
+        CommitOutcome::Lost(entry) => {
             let current = entry.and_then(|entry| parse_head(&entry.value).ok());
             // The answer was lost, and another operator has since applied a version on top of this
             // one.
@@ -205,12 +205,12 @@
                 .as_ref()
                 .is_some_and(|s| is_ancestor(s, head.version, head.nonce))
             {
-                return Ok(Applied::Won(head));
+                return Ok(ApplyOutcome::Won(head));
             }
-            Ok(Applied::Lost(current))
+            Ok(ApplyOutcome::Lost(current))
         }
-        Settled::Away => Err(Error::Away),
-        Settled::Unknown => Err(Error::Unknown),
+        CommitOutcome::Away => Err(Error::Away),
+        CommitOutcome::Unknown => Err(Error::Unknown),
     }
 }
 
--- a/src/ctl/apply.rs
+++ b/src/ctl/apply.rs
@@ -9,7 +9,7 @@
 use super::{code, diff, Failure, Outcome};
 use crate::clock;
 use crate::config::diff::states;
-use crate::config::store::{self, Applied};
+use crate::config::store::{self, ApplyOutcome};
 use crate::config::{Head, State};
 use crate::id::ConfigVersion;
 use crate::platform::Platform;
@@ -72,8 +72,8 @@
     }
     let by = arguments.text("by").unwrap_or_default();
     match store::apply(&platform, base, &state, by, APPLY_TIMEOUT) {
-        Ok(Applied::Won(head)) => report_applied(arguments, &head),
-        Ok(Applied::Lost(current)) => report_conflict(arguments, &platform, &state, current),
+        Ok(ApplyOutcome::Won(head)) => report_applied(arguments, &head),
+        Ok(ApplyOutcome::Lost(current)) => report_conflict(arguments, &platform, &state, current),
         Err(error @ store::Error::Unknown) => Err(Failure::new(code::UNKNOWN, error)),
         Err(error) => Err(Failure::new(code::UNREACHABLE, error)),
     }
--- a/src/ctl/config.rs
+++ b/src/ctl/config.rs
@@ -75,7 +75,7 @@
     /// Loads the state from the given folder and prints its faults.
     pub fn state(&self) -> Result<State, Failure> {
         let folder = PathBuf::from(self.text("folder").unwrap_or_default());
-        load::folder(&folder).map_err(|faults| {
+        load::read_folder(&folder).map_err(|faults| {
             if self.json() {
                 print(&faults);
             } else {
--- a/src/decide/backlog.rs
+++ b/src/decide/backlog.rs
@@ -42,7 +42,7 @@
 /// Window over which the rate of finished tokens is measured: several items long.
 pub const FINISH_RATE_WINDOW: Duration = Duration::from_secs(8);
 /// Bounds of the `Retry-After` time of a refused caller.
-pub const RETURN_MIN: Duration = Duration::from_millis(500);
+pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(500);
 /// Also used while no tokens are finished: the time until there is capacity is unknown then, and one
 /// poll in this interval is enough.
 pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(20);
@@ -52,7 +52,7 @@
 
 /// Key under which the tokens of a route are counted. With a workspace, that of the workspace's own
 /// limit on the route.
-pub fn key(route: &str, workspace: Option<&str>) -> RouteKey {
+pub fn route_key(route: &str, workspace: Option<&str>) -> RouteKey {
     let of_route = id::of(route);
     workspace.map_or(of_route, |workspace| {
         id::weight(of_route, id::of(workspace))
@@ -83,7 +83,7 @@
 
 /// Reservation of one job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Reserved {
+pub struct Reservation {
     pub job: JobId,
     pub tokens: u64,
 }
@@ -91,7 +91,7 @@
 /// The stored record of a route's reservations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservations {
-    pub rows: Vec<Reserved>,
+    pub rows: Vec<Reservation>,
     pub nonce: Nonce,
 }
 
@@ -186,7 +186,7 @@
         now: Duration,
         route: RouteKey,
         before: &Reservations,
-        requested: &Reserved,
+        requested: &Reservation,
         view: BacklogView,
         known: impl Fn(&JobId) -> bool,
         nonce: Nonce,
@@ -221,7 +221,12 @@
     }
 
     /// Records that a reservation was written; the write of the job record follows.
-    pub fn reserved(&mut self, now: Duration, route: RouteKey, reservation: &Reserved) {
+    pub fn reservation_written(
+        &mut self,
+        now: Duration,
+        route: RouteKey,
+        reservation: &Reservation,
+    ) {
         self.admit(
             now,
             route,
@@ -271,7 +276,7 @@
     }
 
     /// Tokens of jobs whose records are being written here and are not known yet.
-    pub fn being_written(&self, route: RouteKey, known: impl Fn(&JobId) -> bool) -> u64 {
+    pub fn tokens_being_written(&self, route: RouteKey, known: impl Fn(&JobId) -> bool) -> u64 {
         let open = |(job, admission): &(&JobId, &Admission)| {
             admission.route == route
                 && matches!(admission.write, JobWrite::Open { .. })
@@ -302,14 +307,14 @@
     }
 
     /// Records tokens that became known as finished.
-    pub fn finished(&mut self, now: Duration, route: RouteKey, tokens: u64) {
+    pub fn tokens_finished(&mut self, now: Duration, route: RouteKey, tokens: u64) {
         let samples = self.finished_tokens.entry(route).or_default();
         samples.retain(|(at, _)| now < *at + FINISH_RATE_WINDOW);
         samples.push((now, tokens));
     }
 
     /// Time after which a refused job may fit, from the rate of finished tokens.
-    pub fn return_after(
+    pub fn retry_after(
         &self,
         now: Duration,
         route: RouteKey,
@@ -329,7 +334,7 @@
         }
         let excess = (view.waiting_tokens + 2 * tokens).saturating_sub(view.limit_tokens);
         let wait = FINISH_RATE_WINDOW.mul_f64(excess as f64 / finished as f64);
-        wait.clamp(RETURN_MIN, RETRY_AFTER_MAX)
+        wait.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX)
     }
 }
 
--- a/src/decide/batch.rs
+++ b/src/decide/batch.rs
@@ -17,7 +17,7 @@
 use self::dispatch::EndpointSlots;
 use self::place::{BatchPeers, Candidate, ObservedChunk};
 use self::run::Run;
-use super::commit::Answer;
+use super::commit::WriteOutcome;
 use super::jobs::{ChunkRecord, ChunkState, JobState, ResultSegment};
 use super::retry::AttemptStage;
 use crate::id::{EndpointId, JobId, Name, OwnerId, Revision, ServiceId};
@@ -91,7 +91,7 @@
 pub enum Event {
     /// All jobs that have not ended.
     Jobs(Vec<JobView>),
-    Crew(BatchPeers),
+    Peers(BatchPeers),
     /// Number of batch items allowed now at each endpoint that is assigned to this VM.
     Windows(Vec<(EndpointId, ServiceId, u32)>),
     /// Weight of each workspace among those with batch work.
@@ -105,7 +105,7 @@
     Written {
         key: ChunkKey,
         run: u64,
-        answer: Answer,
+        answer: WriteOutcome,
     },
     Loaded {
         key: ChunkKey,
@@ -126,11 +126,11 @@
         run: u64,
     },
     Ended {
-        flight: AttemptId,
+        attempt: AttemptId,
         end: AttemptEnd,
     },
     /// Whether to take no new work and hand over current chunks.
-    Leave(bool),
+    Drain(bool),
 }
 
 /// What the host has to do.
@@ -158,14 +158,14 @@
         errors: Vec<Bytes>,
     },
     Start {
-        flight: AttemptId,
+        attempt: AttemptId,
         key: ChunkKey,
         epoch: u64,
         item: u32,
         endpoint: EndpointId,
     },
     Cancel {
-        flight: AttemptId,
+        attempt: AttemptId,
     },
     /// Check whether all chunks of the job have ended, and end it.
     Finish {
@@ -215,7 +215,7 @@
     pub jobs: BTreeMap<JobId, Job>,
     pub runs: BTreeMap<ChunkKey, Run>,
     pub slots: BTreeMap<EndpointId, EndpointSlots>,
-    pub flights: BTreeMap<AttemptId, InFlightAttempt>,
+    pub attempts: BTreeMap<AttemptId, InFlightAttempt>,
     pub totals: Totals,
     observed: BTreeMap<ChunkKey, ObservedChunk>,
     /// Chunks that this VM may claim. Invariant: derived from `jobs` and `peers`.
@@ -238,7 +238,7 @@
             jobs: BTreeMap::new(),
             runs: BTreeMap::new(),
             slots: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             totals: Totals::default(),
             observed: BTreeMap::new(),
             candidates: BTreeMap::new(),
@@ -258,7 +258,7 @@
         let from = out.len();
         match event {
             Event::Jobs(views) => self.apply_jobs(now, views, out),
-            Event::Crew(peers) => self.apply_peers(peers),
+            Event::Peers(peers) => self.apply_peers(peers),
             Event::Windows(windows) => self.apply_windows(windows),
             Event::Shares(shares) => self.shares = shares,
             Event::Read { key, run, found } => self.apply_read(now, key, run, found, out),
@@ -279,11 +279,8 @@
             Event::StoreFailed { key, run } => {
                 self.with_run(now, &key, run, out, |r, now, _| r.store_failed(now));
             }
-            Event::Ended {
-                flight: attempt,
-                end,
-            } => self.attempt_ended(now, attempt, end),
-            Event::Leave(draining) => self.draining = draining,
+            Event::Ended { attempt, end } => self.attempt_ended(now, attempt, end),
+            Event::Drain(draining) => self.draining = draining,
         }
         self.advance(now, out);
         self.count_actions(&out[from..]);
@@ -302,12 +299,12 @@
     }
 
     /// Whether this VM is handing over its chunks.
-    pub fn leaving(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.draining
     }
 
     /// Whether this VM works on no chunk.
-    pub fn idle(&self) -> bool {
+    pub fn has_no_runs(&self) -> bool {
         self.runs.is_empty()
     }
 
@@ -390,10 +387,10 @@
 
     /// Cancels the attempts in flight of a chunk; items that may not be repeated run to their end.
     fn cancel_attempts(&mut self, key: &ChunkKey, out: &mut Vec<Action>) {
-        for (id, attempt) in &mut self.flights {
+        for (id, attempt) in &mut self.attempts {
             if attempt.key == *key && !attempt.cancelled && attempt.idempotent {
                 attempt.cancelled = true;
-                out.push(Action::Cancel { flight: *id });
+                out.push(Action::Cancel { attempt: *id });
             }
         }
     }
@@ -450,7 +447,7 @@
     }
 
     fn attempt_ended(&mut self, now: Duration, id: AttemptId, end: AttemptEnd) {
-        let Some(attempt) = self.flights.remove(&id) else {
+        let Some(attempt) = self.attempts.remove(&id) else {
             return;
         };
         if let Some(slot) = self.slots.get_mut(&attempt.endpoint) {
@@ -493,7 +490,7 @@
         };
         for (key, run) in &mut self.runs {
             run.note_assignments(now, assigned);
-            let in_flight = self.flights.values().any(|attempt| attempt.key == *key);
+            let in_flight = self.attempts.values().any(|attempt| attempt.key == *key);
             run.advance(now, in_flight, out);
         }
     }
--- a/src/decide/batch/dispatch.rs
+++ b/src/decide/batch/dispatch.rs
@@ -46,12 +46,12 @@
         for (endpoint, excess) in over_limit {
             let at = |attempt: &InFlightAttempt| attempt.endpoint == endpoint;
             let cancelling = self
-                .flights
+                .attempts
                 .values()
                 .filter(|attempt| at(attempt) && attempt.cancelled)
                 .count();
             let mut newest_first: Vec<(Duration, AttemptId)> = self
-                .flights
+                .attempts
                 .iter()
                 .filter(|(_, attempt)| at(attempt) && attempt.idempotent && !attempt.cancelled)
                 .map(|(id, attempt)| (attempt.started_at, *id))
@@ -61,9 +61,9 @@
                 .into_iter()
                 .take((excess as usize).saturating_sub(cancelling))
             {
-                if let Some(attempt) = self.flights.get_mut(&id) {
+                if let Some(attempt) = self.attempts.get_mut(&id) {
                     attempt.cancelled = true;
-                    out.push(Action::Cancel { flight: id });
+                    out.push(Action::Cancel { attempt: id });
                 }
             }
         }
@@ -93,7 +93,7 @@
 
     fn attempts_by_workspace(&self) -> HashMap<Name, f64> {
         let mut used = HashMap::new();
-        for attempt in self.flights.values() {
+        for attempt in self.attempts.values() {
             if let Some(job) = self.jobs.get(&attempt.key.job) {
                 *used.entry(job.view.workspace.clone()).or_default() += 1.0;
             }
@@ -114,7 +114,7 @@
         // An item that was running when an endpoint died may have caused it. An endpoint gets only
         // one such item at a time, so that a second death identifies the item.
         let allow_suspect = !self
-            .flights
+            .attempts
             .values()
             .any(|attempt| attempt.endpoint == endpoint && attempt.suspect);
         let Some(key) = self.next_chunk(now, service, allow_suspect, used) else {
@@ -139,7 +139,7 @@
         let id = self.next_attempt;
         self.next_attempt += 1;
         out.push(Action::Start {
-            flight: id,
+            attempt: id,
             epoch: run.epoch(),
             key,
             item,
@@ -148,7 +148,7 @@
         if let Some(job) = self.jobs.get(&attempt.key.job) {
             *used.entry(job.view.workspace.clone()).or_default() += 1.0;
         }
-        self.flights.insert(id, attempt);
+        self.attempts.insert(id, attempt);
         if let Some(slot) = self.slots.get_mut(&endpoint) {
             slot.in_flight += 1;
         }
--- a/src/decide/batch/place.rs
+++ b/src/decide/batch/place.rs
@@ -39,13 +39,13 @@
 /// The VMs that share batch work, as seen by this VM.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct BatchPeers {
-    pub own: VmId,
-    pub own_domain: DomainId,
+    pub local_vm: VmId,
+    pub local_domain: DomainId,
     /// VMs of the local failure domain whose batch process is up, including this one if it is.
     pub vms: Vec<VmId>,
     /// Owner ids of their batch processes.
     pub owners: Vec<OwnerId>,
-    pub hands: Vec<ServiceWorkers>,
+    pub workers: Vec<ServiceWorkers>,
 }
 
 impl BatchPeers {
@@ -57,15 +57,15 @@
     fn rank(&self, key: &ChunkKey, services: &[ServiceId]) -> Option<(usize, usize)> {
         let hash = id::of(&key.job).wrapping_add(u64::from(key.chunk));
         let workers = || {
-            self.hands
+            self.workers
                 .iter()
                 .filter(|workers| services.contains(&workers.service))
         };
         let domains = workers().flat_map(|workers| workers.domains.iter().copied());
         let vms = workers().flat_map(|workers| workers.vms.iter().copied());
         let position = |ids: Vec<u64>, own: u64| ids.iter().position(|id| *id == own);
-        let domain = position(ranked(hash, domains), self.own_domain)?;
-        let vm = position(ranked(hash, vms), self.own)?;
+        let domain = position(ranked(hash, domains), self.local_domain)?;
+        let vm = position(ranked(hash, vms), self.local_vm)?;
         Some((domain, vm))
     }
 
@@ -79,7 +79,7 @@
             Some(rank) => rank == (0, 0),
             // No VM can work on it: all check it, so that a cancelled job still ends.
             None => !self
-                .hands
+                .workers
                 .iter()
                 .any(|workers| services.contains(&workers.service)),
         }
@@ -146,7 +146,7 @@
         if record.owner == 0 {
             return true;
         }
-        if record.owner_domain == peers.own_domain {
+        if record.owner_domain == peers.local_domain {
             return !peers.owners.contains(&record.owner);
         }
         // For a remote failure domain only the record shows whether the owner is alive.
@@ -201,7 +201,7 @@
         }
         self.claim_soon = false;
         self.next_claim_at = now + CLAIM_INTERVAL;
-        if !self.peers.vms.contains(&self.peers.own) {
+        if !self.peers.vms.contains(&self.peers.local_vm) {
             return;
         }
         let mut wanted: Vec<(Duration, &ChunkKey, bool)> = Vec::new();
@@ -291,7 +291,7 @@
         let Some(run) = Run::claim(
             key.clone(),
             id,
-            (self.owner, self.peers.own_domain),
+            (self.owner, self.peers.local_domain),
             record,
             nonce,
             stopping,
--- a/src/decide/batch/run.rs
+++ b/src/decide/batch/run.rs
@@ -11,7 +11,7 @@
 
 use super::place::RETRY_AFTER;
 use super::{Action, AttemptEnd, ChunkKey, InFlightAttempt, ItemWork, PlannedItem};
-use crate::decide::commit::{Answer, Commit, Step};
+use crate::decide::commit::{Commit, Step, WriteOutcome};
 use crate::decide::jobs::{ChunkRecord, ChunkState, ItemSet, ResultSegment};
 use crate::decide::retry::AttemptStage;
 use crate::id::{DomainId, Epoch, Nonce, OwnerId, Revision, ServiceId};
--- a/src/decide/batch/run/writes.rs
+++ b/src/decide/batch/run/writes.rs
@@ -6,7 +6,7 @@
 
 impl Run {
     /// Applies the answer to a write.
-    pub fn written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
+    pub fn written(&mut self, now: Duration, answer: WriteOutcome, out: &mut Vec<Action>) {
         if let Some(writing) = self.pending_write_mut() {
             writing.requested = false;
             writing.commit.written(answer);
@@ -54,7 +54,7 @@
         };
         match writing.commit.step() {
             Step::Write | Step::Read => {
-                writing.not_before = now + writing.commit.pause(RETRY_BACKOFF);
+                writing.not_before = now + writing.commit.delay(RETRY_BACKOFF);
                 self.request_next_step(now, out);
             }
             Step::Won(revision) => {
@@ -308,7 +308,7 @@
     }
 
     fn expect(&self) -> Revision {
-        self.commit.expect()
+        self.commit.expected_revision()
     }
 }
 
--- a/src/decide/commit.rs
+++ b/src/decide/commit.rs
@@ -6,7 +6,7 @@
 
 /// Outcome of one write request, as far as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
+pub enum WriteOutcome {
     Won(Revision),
     Lost,
     /// Certainly without effect.
@@ -53,7 +53,7 @@
     }
 
     /// The revision that it replaces.
-    pub fn expect(&self) -> Revision {
+    pub fn expected_revision(&self) -> Revision {
         self.expect
     }
 
@@ -63,14 +63,14 @@
     }
 
     /// Handles the outcome of a write.
-    pub fn written(&mut self, outcome: Answer) -> Step {
+    pub fn written(&mut self, outcome: WriteOutcome) -> Step {
         self.attempts += 1;
         self.step = match outcome {
-            Answer::Won(revision) => Step::Won(revision),
-            Answer::Lost => Step::Read,
-            Answer::Away if self.maybe_written => Step::Read,
-            Answer::Away => Step::Away,
-            Answer::Unknown => {
+            WriteOutcome::Won(revision) => Step::Won(revision),
+            WriteOutcome::Lost => Step::Read,
+            WriteOutcome::Away if self.maybe_written => Step::Read,
+            WriteOutcome::Away => Step::Away,
+            WriteOutcome::Unknown => {
                 self.maybe_written = true;
                 Step::Read
             }
@@ -98,7 +98,7 @@
     }
 
     /// Delay before the next step: none at first, then longer with each attempt.
-    pub fn pause(&self, unit: Duration) -> Duration {
+    pub fn delay(&self, unit: Duration) -> Duration {
         unit * self.attempts.saturating_sub(1).min(10)
     }
 }
--- a/src/decide/discovery.rs
+++ b/src/decide/discovery.rs
@@ -323,9 +323,10 @@
     }
 
     /// Configuration of each endpoint for the endpoint table, and whether it is draining.
-    pub fn declared(&self) -> Vec<(EndpointId, EndpointConfig, bool)> {
+    pub fn endpoint_configs(&self) -> Vec<(EndpointId, EndpointConfig, bool)> {
         let entries = self.rows.values().map(|row| &row.entry);
-        let declared = entries.map(|entry| (entry.endpoint(), entry.declared(), entry.draining));
+        let declared =
+            entries.map(|entry| (entry.endpoint(), entry.endpoint_config(), entry.draining));
         let mut rows: Vec<_> = declared.collect();
         rows.sort_by_key(|(id, ..)| *id);
         rows
--- a/src/decide/discovery/entry.rs
+++ b/src/decide/discovery/entry.rs
@@ -30,7 +30,7 @@
     }
 
     /// The entry in the form used by the endpoint table.
-    pub fn declared(&self) -> EndpointConfig {
+    pub fn endpoint_config(&self) -> EndpointConfig {
         EndpointConfig {
             name: self.name.clone(),
             domain: self.domain,
--- a/src/decide/endpoints.rs
+++ b/src/decide/endpoints.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     pub id: EndpointId,
-    pub declared: EndpointConfig,
+    pub config: EndpointConfig,
     pub limit: Limit,
     /// Online requests of this VM at the endpoint.
     pub online_here: u32,
@@ -71,7 +71,7 @@
     /// Batch items of all VMs at the endpoint, in the local view.
     pub batch: u32,
     /// Slots that urgent batch items keep even if online requests need them.
-    pub kept: u32,
+    pub reserved_slots: u32,
     /// When anything was last received from the endpoint, on any connection of this VM.
     pub last_received_at: Duration,
     pub report: Option<EndpointReport>,
@@ -93,12 +93,12 @@
         Endpoint {
             id,
             limit: Limit::new(declared.initial_limit),
-            declared,
+            config: declared,
             online_here: 0,
             online_elsewhere: 0,
             remote_vms: 0,
             batch: 0,
-            kept: 0,
+            reserved_slots: 0,
             last_received_at: Duration::ZERO,
             report: None,
             reported_at: Duration::ZERO,
@@ -141,7 +141,7 @@
     /// one. So each VM may always use its even share of the slots, whatever the others last
     /// reported.
     pub fn has_room(&self, now: Duration) -> bool {
-        let slots = (self.slots(now) - f64::from(self.kept)).max(1.0);
+        let slots = (self.slots(now) - f64::from(self.reserved_slots)).max(1.0);
         let unused = slots + QUEUED_AHEAD_MAX - f64::from(self.online_elsewhere);
         let even_share = slots / f64::from(self.remote_vms + 1);
         f64::from(self.online_here) + 1.0 <= unused.max(even_share)
@@ -150,13 +150,13 @@
     /// Whether one more online request would start at once, or as soon as a batch item is
     /// preempted.
     pub fn has_slot(&self, now: Duration) -> bool {
-        f64::from(self.online() + self.kept) + 1.0 <= self.slots(now)
+        f64::from(self.online() + self.reserved_slots) + 1.0 <= self.slots(now)
     }
 
     /// Whether a slot is still free if others have taken one or two meanwhile: counts of endpoints
     /// in other failure domains arrive half a second late.
     pub fn has_spare_slots(&self, now: Duration) -> bool {
-        f64::from(self.online() + self.kept) + SPARE_SLOTS_MIN <= self.slots(now)
+        f64::from(self.online() + self.reserved_slots) + SPARE_SLOTS_MIN <= self.slots(now)
     }
 
     /// Online requests as a share of the slots.
@@ -246,8 +246,8 @@
             self.rows.drain(..).map(|row| (row.id, row)).collect();
         for (id, declared) in declared {
             let row = match old.remove(&id) {
-                Some(mut row) if row.declared.address == declared.address => {
-                    row.declared = declared;
+                Some(mut row) if row.config.address == declared.address => {
+                    row.config = declared;
                     row
                 }
                 _ => Endpoint::new(id, declared),
@@ -267,7 +267,7 @@
         self.by_service.clear();
         for (at, row) in self.rows.iter().enumerate() {
             self.by_service
-                .entry(row.declared.service)
+                .entry(row.config.service)
                 .or_default()
                 .push(at);
         }
--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -87,7 +87,7 @@
 /// One VM's view of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
-    pub card: VmStatus,
+    pub status: VmStatus,
     pub members: Members,
     sequence: u64,
     next_heartbeat: Duration,
@@ -140,7 +140,7 @@
             polled_endpoints: Vec::new(),
             placement_inputs: (0, 0),
             remote_uses: HashMap::new(),
-            card,
+            status: card,
         }
     }
 
@@ -157,7 +157,7 @@
         let from = heartbeat.status.peer_address;
         let outcome =
             self.members
-                .apply_heartbeat(now, &self.card, heartbeat.status, heartbeat.sequence);
+                .apply_heartbeat(now, &self.status, heartbeat.status, heartbeat.sequence);
         match outcome {
             HeartbeatOutcome::Stale => return,
             HeartbeatOutcome::Superseded => {
@@ -185,12 +185,12 @@
     /// one's fetch is in flight would wait for the next heartbeat from a remote domain.
     fn fetch_newer(&mut self, now: Duration, out: &mut Vec<Action>) {
         let (from, version) = self.newest_config;
-        if version > self.card.config && is_fetch_due(self.fetched_config_at, now) {
+        if version > self.status.config && is_fetch_due(self.fetched_config_at, now) {
             self.fetched_config_at = Some(now);
             out.push(Action::FetchConfig { from, version });
         }
         let (from, revision) = self.newest_jobs;
-        if revision > self.card.jobs && is_fetch_due(self.fetched_jobs_at, now) {
+        if revision > self.status.jobs && is_fetch_due(self.fetched_jobs_at, now) {
             self.fetched_jobs_at = Some(now);
             out.push(Action::FetchJobs { from });
         }
@@ -228,7 +228,7 @@
         );
         // Changes from a remote domain are forwarded to the local one; those of the local domain
         // came from it.
-        if leaving_changed && domain != self.card.domain {
+        if leaving_changed && domain != self.status.domain {
             self.mark_changed(id);
         }
     }
@@ -291,7 +291,8 @@
     fn sum_remote_uses(&mut self, now: Duration, endpoints: &mut Endpoints) {
         let members = &self.members;
         self.remote_uses.retain(|(vm, _), (_, at)| {
-            now < *at + USE_EXPIRES_AFTER && members.rows.get(vm).is_some_and(|row| row.alive(now))
+            now < *at + USE_EXPIRES_AFTER
+                && members.members.get(vm).is_some_and(|row| row.is_alive(now))
         });
         for endpoint in &mut endpoints.rows {
             endpoint.online_elsewhere = 0;
@@ -315,14 +316,16 @@
         let rows = self.rows_to_send(endpoints);
         self.sequence += 1;
         let heartbeat = Heartbeat {
-            status: self.card.clone(),
+            status: self.status.clone(),
             sequence: self.sequence,
             rows,
         };
-        for row in self.members.rows.values() {
-            let is_local = row.card.domain == self.card.domain;
-            if is_local || (to_remote && self.is_remote_target(now, row.card.vm, row.card.domain)) {
-                let to = row.card.gossip_address;
+        for row in self.members.members.values() {
+            let is_local = row.status.domain == self.status.domain;
+            if is_local
+                || (to_remote && self.is_remote_target(now, row.status.vm, row.status.domain))
+            {
+                let to = row.status.gossip_address;
                 out.push(Action::Send {
                     to,
                     heartbeat: heartbeat.clone(),
@@ -336,18 +339,18 @@
     fn is_remote_target(&self, now: Duration, vm: VmId, domain: DomainId) -> bool {
         let of_domain = || {
             self.members
-                .rows
+                .members
                 .values()
-                .filter(|r| r.card.domain == domain)
+                .filter(|r| r.status.domain == domain)
         };
-        let alive = of_domain().filter(|r| r.alive(now)).map(|r| r.card.vm);
+        let alive = of_domain().filter(|r| r.is_alive(now)).map(|r| r.status.vm);
         let mut targets = ranked(KEY_DELEGATE, alive);
         targets.truncate(DELEGATES_PER_DOMAIN);
         if targets.len() < DELEGATES_PER_DOMAIN {
             // Which of the silent VMs is alive is not known: try them in rotation.
             let mut silent: Vec<VmId> = of_domain()
-                .filter(|r| !r.alive(now))
-                .map(|r| r.card.vm)
+                .filter(|r| !r.is_alive(now))
+                .map(|r| r.status.vm)
                 .collect();
             silent.sort_unstable();
             if !silent.is_empty() {
@@ -405,8 +408,8 @@
 
     /// Assigns endpoints to VMs again when VMs, endpoints or configuration have changed.
     fn update_placement(&mut self, now: Duration, endpoints: &Endpoints) {
-        let (domain, local) = (self.card.domain, &self.card);
-        let mut working_vms = self.members.ranked_for(now, local, domain, 0);
+        let (domain, local) = (self.status.domain, &self.status);
+        let mut working_vms = self.members.ranked_vms(now, local, domain, 0);
         working_vms.sort_unstable();
         let mut batch_vms = self.members.ranked_batch_vms(now, local, 0);
         batch_vms.sort_unstable();
@@ -423,7 +426,7 @@
         for row in endpoints
             .rows
             .iter()
-            .filter(|row| row.declared.domain == domain)
+            .filter(|row| row.config.domain == domain)
         {
             if let Some(vm) = ranked(row.id, self.batch_vms.iter().copied()).first() {
                 self.assigned_vms.insert(row.id, *vm);
@@ -432,7 +435,7 @@
             if pollers
                 .iter()
                 .take(POLLERS_PER_ENDPOINT)
-                .any(|vm| *vm == self.card.vm)
+                .any(|vm| *vm == self.status.vm)
             {
                 self.polled_endpoints.push(row.id);
             }
@@ -465,8 +468,8 @@
     fn delegate_rank(&self, now: Duration) -> Option<usize> {
         let ranked = self
             .members
-            .ranked_for(now, &self.card, self.card.domain, KEY_DELEGATE);
-        ranked.iter().position(|vm| *vm == self.card.vm)
+            .ranked_vms(now, &self.status, self.status.domain, KEY_DELEGATE);
+        ranked.iter().position(|vm| *vm == self.status.vm)
     }
 
     /// The VM whose batch process may use an endpoint of the local domain.
@@ -476,9 +479,9 @@
 
     /// Batch processes of the local domain that are up.
     pub fn batch_owners(&self) -> Vec<OwnerId> {
-        let owner = |vm: &VmId| match *vm == self.card.vm {
-            true => Some(self.card.batch),
-            false => self.members.rows.get(vm).map(|row| row.card.batch),
+        let owner = |vm: &VmId| match *vm == self.status.vm {
+            true => Some(self.status.batch),
+            false => self.members.members.get(vm).map(|row| row.status.batch),
         };
         self.batch_vms.iter().filter_map(owner).collect()
     }
--- a/src/decide/idle.rs
+++ b/src/decide/idle.rs
@@ -28,20 +28,20 @@
     pub ready: u32,
     /// Items that are delayed.
     pub paused: u32,
-    pub starting: bool,
+    pub may_start: bool,
 }
 
 /// Slot-time lost so far, by reason.
 #[derive(Debug, Default, Clone)]
-pub struct Idle {
+pub struct IdleCounter {
     lost: HashMap<IdleReason, Duration>,
     snapshot: IdleSnapshot,
     at: Duration,
 }
 
-impl Idle {
+impl IdleCounter {
     /// Counts the time since the last plan by its snapshot, and stores the new snapshot.
-    pub fn note(&mut self, now: Duration, snapshot: IdleSnapshot) {
+    pub fn record(&mut self, now: Duration, snapshot: IdleSnapshot) {
         let elapsed = now.saturating_sub(self.at).min(COUNTED_INTERVAL_MAX);
         for (reason, slots) in reasons(self.snapshot) {
             *self.lost.entry(reason).or_default() += elapsed * slots;
@@ -60,7 +60,7 @@
 fn reasons(snapshot: IdleSnapshot) -> [(IdleReason, u32); 2] {
     let ready = snapshot.ready.min(snapshot.free_slots);
     let paused = snapshot.paused.min(snapshot.free_slots - ready);
-    match snapshot.starting {
+    match snapshot.may_start {
         true => [(IdleReason::Turn, ready), (IdleReason::Pause, paused)],
         false => [
             (IdleReason::Stopping, ready + paused),
--- a/src/decide/intents.rs
+++ b/src/decide/intents.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::commit::{Answer, Commit, Step};
+use super::commit::{Commit, Step, WriteOutcome};
 use crate::id::{self, Nonce, Revision};
 
 /// Number of ranges; part of the storage format.
@@ -23,7 +23,7 @@
 /// Maximum size of the recorded answers in one page, in bytes.
 pub const PAGE_BYTES_MAX: usize = 512 * 1024;
 /// Answers larger than this, in bytes, are not recorded; their keys are.
-pub const ANSWER_BYTES: usize = 64 * 1024;
+pub const ANSWER_BYTES_MAX: usize = 64 * 1024;
 /// After this time without a result of the write, requests that want to begin are answered with
 /// [`IntentVerdict::Away`].
 pub const WRITE_RESULT_TIMEOUT: Duration = Duration::from_millis(1500);
@@ -102,8 +102,8 @@
     Read {
         slot: u64,
     },
-    Tell {
-        ticket: WaiterId,
+    Reply {
+        waiter: WaiterId,
         verdict: IntentVerdict,
     },
 }
@@ -129,7 +129,7 @@
 
 /// One range, as seen by one VM.
 #[derive(Debug)]
-pub struct Range {
+pub struct IntentRange {
     /// Invariant: all pages below `next_slot` are in `index`.
     next_slot: u64,
     loaded: bool,
@@ -157,10 +157,10 @@
     format!("intent/{range}/{slot:012}")
 }
 
-impl Range {
+impl IntentRange {
     /// An empty range that is not loaded yet; `nonce` must be random.
-    pub fn new(nonce: Nonce) -> Range {
-        Range {
+    pub fn new(nonce: Nonce) -> IntentRange {
+        IntentRange {
             next_slot: 0,
             loaded: false,
             listing: false,
@@ -184,7 +184,7 @@
     }
 
     /// Handles a request.
-    pub fn ask(
+    pub fn submit(
         &mut self,
         now: Duration,
         waiter: WaiterId,
@@ -227,7 +227,7 @@
     }
 
     /// Handles the result of a write.
-    pub fn written(&mut self, now: Duration, outcome: Answer, out: &mut Vec<Action>) {
+    pub fn written(&mut self, now: Duration, outcome: WriteOutcome, out: &mut Vec<Action>) {
         if let Some(writing) = &mut self.writing {
             writing.in_flight = false;
             writing.commit.written(outcome);
@@ -315,8 +315,8 @@
                 Some(IntentRecord::Begun { .. }) => IntentVerdict::Begun,
             };
             if !waiter.abandoned {
-                out.push(Action::Tell {
-                    ticket: waiter.id,
+                out.push(Action::Reply {
+                    waiter: waiter.id,
                     verdict,
                 });
             }
@@ -392,7 +392,7 @@
         };
         match writing.commit.step() {
             Step::Write | Step::Read => {
-                writing.not_before = now + writing.commit.pause(RETRY_INTERVAL);
+                writing.not_before = now + writing.commit.delay(RETRY_INTERVAL);
                 self.writing = Some(writing);
             }
             Step::Won(_) => {
@@ -427,8 +427,8 @@
 
     fn reply_written(&mut self, now: Duration, waiter: Waiter, out: &mut Vec<Action>) {
         if !waiter.abandoned {
-            out.push(Action::Tell {
-                ticket: waiter.id,
+            out.push(Action::Reply {
+                waiter: waiter.id,
                 verdict: IntentVerdict::Go,
             });
         } else if matches!(waiter.request, IntentRequest::Begin { .. }) {
@@ -448,8 +448,8 @@
         self.waiting.retain(|waiter| {
             let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
             if is_begin && !waiter.abandoned {
-                out.push(Action::Tell {
-                    ticket: waiter.id,
+                out.push(Action::Reply {
+                    waiter: waiter.id,
                     verdict: IntentVerdict::Away,
                 });
             }
@@ -465,8 +465,8 @@
                 let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
                 if is_begin && !waiter.abandoned && is_overdue(waiter.since) {
                     waiter.abandoned = true;
-                    out.push(Action::Tell {
-                        ticket: waiter.id,
+                    out.push(Action::Reply {
+                        waiter: waiter.id,
                         verdict: IntentVerdict::Away,
                     });
                 }
@@ -476,8 +476,8 @@
             let is_begin = matches!(waiter.request, IntentRequest::Begin { .. });
             if is_begin && is_overdue(waiter.since) {
                 if !waiter.abandoned {
-                    out.push(Action::Tell {
-                        ticket: waiter.id,
+                    out.push(Action::Reply {
+                        waiter: waiter.id,
                         verdict: IntentVerdict::Away,
                     });
                 }
--- a/src/decide/items.rs
+++ b/src/decide/items.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use super::endpoints::{Endpoint, Endpoints};
-use super::idle::{Idle, IdleSnapshot};
+use super::idle::{IdleCounter, IdleSnapshot};
 use super::slot_grants::{CompetingVm, EndpointPlace, SlotGrants};
 use super::small_jobs::ItemIndex;
 use super::usage::{own_excess, Usage};
@@ -82,7 +82,7 @@
     typical_run_time: Option<Duration>,
     slot_grants: SlotGrants,
     /// Free slots that stayed unused while items waited.
-    pub idle: Idle,
+    pub idle: IdleCounter,
 }
 
 /// The VM for which items are scheduled, and the VMs that it competes with.
@@ -90,9 +90,9 @@
     pub vm: VmId,
     pub domain: DomainId,
     /// Other VMs with waiting items.
-    pub rivals: &'a [CompetingVm],
+    pub competing_vms: &'a [CompetingVm],
     /// False while the VM drains.
-    pub starting: bool,
+    pub may_start: bool,
 }
 
 /// This VM's items at one endpoint.
@@ -200,7 +200,7 @@
     }
 
     /// Delays an item whose request is quarantined.
-    pub fn held_back(&mut self, now: Duration, key: &ItemKey, back_in: Duration) {
+    pub fn quarantined(&mut self, now: Duration, key: &ItemKey, back_in: Duration) {
         if let Some(state) = self.states.get_mut(key) {
             let not_before = now + back_in;
             state.stage = Stage::Waiting { not_before };
@@ -208,14 +208,14 @@
     }
 
     /// Sets the earlier run time of an item that resumes here after it ran on another VM.
-    pub fn resumed(&mut self, key: &ItemKey, ran: Duration) {
+    pub fn set_run_time(&mut self, key: &ItemKey, ran: Duration) {
         if let Some(state) = self.states.get_mut(key) {
             state.earlier_run_time = ran;
         }
     }
 
     /// Total run time of an item.
-    pub fn ran(&self, now: Duration, key: &ItemKey) -> Duration {
+    pub fn run_time(&self, now: Duration, key: &ItemKey) -> Duration {
         let state = self.states.get(key);
         state.map_or(Duration::ZERO, |state| {
             state.earlier_run_time + state.current_run_time(now)
@@ -223,7 +223,7 @@
     }
 
     /// Changes the service of an item after a change of the routes.
-    pub fn moved(&mut self, key: &ItemKey, service: ServiceId) {
+    pub fn service_changed(&mut self, key: &ItemKey, service: ServiceId) {
         if let Some(state) = self.states.get_mut(key) {
             state.service = service;
         }
@@ -244,13 +244,13 @@
     }
 
     /// Items of this VM running at an endpoint.
-    pub fn at(&self, endpoint: EndpointId) -> u32 {
+    pub fn running_at(&self, endpoint: EndpointId) -> u32 {
         let here = |state: &&ItemState| state.occupied_endpoint() == Some(endpoint);
         self.states.values().filter(here).count() as u32
     }
 
     /// Items of this VM by endpoint.
-    pub fn placed(&self, now: Duration) -> HashMap<EndpointId, EndpointItems> {
+    pub fn by_endpoint(&self, now: Duration) -> HashMap<EndpointId, EndpointItems> {
         let mut by_endpoint: HashMap<EndpointId, EndpointItems> = HashMap::new();
         for state in self.states.values() {
             let Some(endpoint) = state.occupied_endpoint() else {
@@ -287,8 +287,8 @@
     }
 
     /// Updates the usage of all VMs in the endpoints' rows.
-    pub fn note_uses(&self, now: Duration, endpoints: &mut Endpoints, usage: &Usage) {
-        let by_endpoint = self.placed(now);
+    pub fn update_usage(&self, now: Duration, endpoints: &mut Endpoints, usage: &Usage) {
+        let by_endpoint = self.by_endpoint(now);
         for endpoint in &mut endpoints.rows {
             let here = by_endpoint.get(&endpoint.id).copied().unwrap_or_default();
             update_endpoint_usage(now, endpoint, here, usage);
@@ -297,14 +297,14 @@
 
     /// Like [`Items::update_usage`], for the endpoints of one VM's report. Returns whether one of
     /// them is over its limit and has items of this VM, which then have to be scheduled again.
-    pub fn note_uses_at(
+    pub fn update_usage_at(
         &self,
         now: Duration,
         endpoints: &mut Endpoints,
         usage: &Usage,
         reported: &[EndpointId],
     ) -> bool {
-        let by_endpoint = self.placed(now);
+        let by_endpoint = self.by_endpoint(now);
         let mut over_limit = false;
         for id in reported {
             if let Some(endpoint) = endpoints.get_mut(*id) {
@@ -329,11 +329,11 @@
         for capacity in &mut capacities {
             self.preempt_excess(now, planner.vm, capacity, usage, &mut out);
         }
-        if planner.starting {
+        if planner.may_start {
             self.start(now, planner, &mut capacities, &mut out);
         }
         let snapshot = self.idle_snapshot(now, planner, &capacities);
-        self.idle.note(now, snapshot);
+        self.idle.record(now, snapshot);
         out
     }
 
@@ -347,7 +347,7 @@
         let usable = capacities.iter().filter(|capacity| capacity.usable);
         let mut snapshot = IdleSnapshot {
             free_slots: usable.map(|capacity| capacity.open_slots(false)).sum(),
-            starting: planner.starting,
+            may_start: planner.may_start,
             ..IdleSnapshot::default()
         };
         for state in self.states.values() {
@@ -361,7 +361,7 @@
     }
 
     /// Number of items that wait for a slot.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let waits = |state: &&ItemState| matches!(state.stage, Stage::Waiting { .. });
         self.states.values().filter(waits).count()
     }
@@ -372,14 +372,14 @@
         endpoints: &Endpoints,
         usage: &Usage,
     ) -> Vec<EndpointCapacity> {
-        let by_endpoint = self.placed(now);
+        let by_endpoint = self.by_endpoint(now);
         let capacity = |endpoint: &Endpoint| {
-            let elsewhere = usage.of(endpoint.id);
+            let elsewhere = usage.total(endpoint.id);
             let here = by_endpoint.get(&endpoint.id).copied().unwrap_or_default();
             EndpointCapacity {
                 id: endpoint.id,
-                service: endpoint.declared.service,
-                domain: endpoint.declared.domain,
+                service: endpoint.config.service,
+                domain: endpoint.config.domain,
                 usable: endpoint.usable(now),
                 slots: endpoint.slots(now) as u32,
                 online: endpoint.online_here + elsewhere.online,
@@ -410,7 +410,7 @@
         let count = match usage.item_allowance(now, capacity.id) {
             Some(allowance) => capacity.batch_here.saturating_sub(allowance),
             None => {
-                let others = usage.batch_users(capacity.id);
+                let others = usage.batch_vms(capacity.id);
                 own_excess(excess, (vm, capacity.batch_here), &others)
             }
         };
@@ -457,7 +457,7 @@
         };
         let mut queue: Vec<_> = self.states.iter().filter_map(waiting).collect();
         queue.sort();
-        let mut waiting_count = self.waiting() as u32;
+        let mut waiting_count = self.waiting_count() as u32;
         for ((.., key), urgent) in queue {
             let Some(state) = self.states.get_mut(&key) else {
                 continue;
@@ -498,7 +498,7 @@
                 stopping: false,
             };
             waiting_count = waiting_count.saturating_sub(1);
-            self.slot_grants.started(now, endpoint);
+            self.slot_grants.record_start(now, endpoint);
             out.push(Action::Start { key, endpoint });
         }
     }
@@ -510,11 +510,11 @@
     here: EndpointItems,
     usage: &Usage,
 ) {
-    let elsewhere = usage.of(endpoint.id);
+    let elsewhere = usage.total(endpoint.id);
     endpoint.online_elsewhere = elsewhere.online;
-    endpoint.remote_vms = elsewhere.online_users;
+    endpoint.remote_vms = elsewhere.online_vms;
     endpoint.batch = elsewhere.batch + here.batch;
-    endpoint.kept =
+    endpoint.reserved_slots =
         (elsewhere.urgent + here.urgent).min(urgent_slots_max(endpoint.slots(now) as u32));
 }
 
@@ -567,7 +567,7 @@
             place,
             capacity.open_slots(needs.urgent),
             vm,
-            planner.rivals,
+            planner.competing_vms,
         ) {
             return Some(at);
         }
--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -37,23 +37,24 @@
 /// Another VM.
 #[derive(Debug, Clone)]
 pub struct Member {
-    pub card: VmStatus,
+    pub status: VmStatus,
     /// Highest sequence number of this incarnation; late datagrams carry lower ones.
     pub sequence: u64,
-    pub heard_at: Option<Duration>,
+    pub last_heartbeat_at: Option<Duration>,
     /// Whether the platform's list has it; only a hint.
     pub listed: bool,
 }
 
 impl Member {
     /// Whether a heartbeat arrived within [`DEAD_AFTER`].
-    pub fn alive(&self, now: Duration) -> bool {
-        self.heard_at.is_some_and(|at| now < at + DEAD_AFTER)
+    pub fn is_alive(&self, now: Duration) -> bool {
+        self.last_heartbeat_at
+            .is_some_and(|at| now < at + DEAD_AFTER)
     }
 
     /// Whether it accepts work.
     pub fn accepts_work(&self, now: Duration) -> bool {
-        self.alive(now) && !self.card.leaving
+        self.is_alive(now) && !self.status.leaving
     }
 }
 
@@ -70,7 +71,7 @@
 /// All known VMs but this one, of all failure domains.
 #[derive(Debug, Default)]
 pub struct Members {
-    pub rows: HashMap<VmId, Member>,
+    pub members: HashMap<VmId, Member>,
 }
 
 impl Members {
@@ -90,56 +91,60 @@
                 HeartbeatOutcome::Stale
             };
         }
-        if let Some(row) = self.rows.get_mut(&status.vm) {
-            let known = (row.card.incarnation, row.sequence);
-            if row.heard_at.is_some() && (status.incarnation, sequence) <= known {
+        if let Some(row) = self.members.get_mut(&status.vm) {
+            let known = (row.status.incarnation, row.sequence);
+            if row.last_heartbeat_at.is_some() && (status.incarnation, sequence) <= known {
                 return HeartbeatOutcome::Stale;
             }
-            row.card = status;
+            row.status = status;
             row.sequence = sequence;
-            row.heard_at = Some(now);
+            row.last_heartbeat_at = Some(now);
             return HeartbeatOutcome::Applied;
         }
         let row = Member {
             sequence,
-            heard_at: Some(now),
+            last_heartbeat_at: Some(now),
             listed: false,
-            card: status,
+            status,
         };
-        self.rows.insert(row.card.vm, row);
+        self.members.insert(row.status.vm, row);
         HeartbeatOutcome::Applied
     }
 
     /// Applies the platform's list: adds VMs to send to, and removes none whose heartbeats arrive.
     pub fn apply_vm_list(&mut self, local: &VmStatus, vms: impl IntoIterator<Item = VmStatus>) {
-        self.rows.values_mut().for_each(|row| row.listed = false);
+        self.members.values_mut().for_each(|row| row.listed = false);
         for status in vms {
             if status.vm == local.vm {
                 continue;
             }
             let new_member = || Member {
-                card: status.clone(),
+                status: status.clone(),
                 sequence: 0,
-                heard_at: None,
+                last_heartbeat_at: None,
                 listed: true,
             };
-            let row = self.rows.entry(status.vm).or_insert_with(new_member);
+            let row = self.members.entry(status.vm).or_insert_with(new_member);
             row.listed = true;
-            if row.heard_at.is_none() {
-                row.card = status;
+            if row.last_heartbeat_at.is_none() {
+                row.status = status;
             }
         }
     }
 
     /// Drops VMs that are neither listed nor heard from within [`FORGET_AFTER`].
     pub fn tick(&mut self, now: Duration) {
-        self.rows
-            .retain(|_, row| row.listed || row.heard_at.is_some_and(|at| now < at + FORGET_AFTER));
+        self.members.retain(|_, row| {
+            row.listed
+                || row
+                    .last_heartbeat_at
+                    .is_some_and(|at| now < at + FORGET_AFTER)
+        });
     }
 
     /// VMs of a domain that accept work, in rendezvous order for `key`; this VM is included if it
     /// does.
-    pub fn ranked_for(
+    pub fn ranked_vms(
         &self,
         now: Duration,
         local: &VmStatus,
@@ -147,10 +152,10 @@
         key: u64,
     ) -> Vec<VmId> {
         let others = self
-            .rows
+            .members
             .values()
-            .filter(|row| row.card.domain == domain && row.accepts_work(now))
-            .map(|row| row.card.vm);
+            .filter(|row| row.status.domain == domain && row.accepts_work(now))
+            .map(|row| row.status.vm);
         let local_vm = (local.domain == domain && !local.leaving).then_some(local.vm);
         ranked(key, others.chain(local_vm))
     }
@@ -158,11 +163,11 @@
     /// Like [`Members::ranked_for`], for VMs of the local domain whose batch process is up.
     pub fn ranked_batch_vms(&self, now: Duration, local: &VmStatus, key: u64) -> Vec<VmId> {
         let others = self
-            .rows
+            .members
             .values()
-            .filter(|row| row.card.domain == local.domain)
-            .filter(|row| row.accepts_work(now) && row.card.batch != 0)
-            .map(|row| row.card.vm);
+            .filter(|row| row.status.domain == local.domain)
+            .filter(|row| row.accepts_work(now) && row.status.batch != 0)
+            .map(|row| row.status.vm);
         let local_vm = (local.batch != 0 && !local.leaving).then_some(local.vm);
         ranked(key, others.chain(local_vm))
     }
--- a/src/decide/online.rs
+++ b/src/decide/online.rs
@@ -25,13 +25,13 @@
 const ADMITTED_WAIT_RATIO: f64 = 0.6;
 /// An endpoint that sends nothing on any connection for this long is ejected: many times the
 /// interval between two events, and short compared with the seconds until a caller's deadline.
-pub const SILENCE: Duration = Duration::from_millis(400);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 /// The same while all slots of the endpoint are taken and requests of this VM may be in its queue.
-pub const SILENCE_CROWDED: Duration = Duration::from_millis(1500);
+pub const QUEUED_SILENCE_TIMEOUT: Duration = Duration::from_millis(1500);
 /// A response that has begun and then sends nothing for this long is given up, even if its endpoint
 /// sends on other connections. Events come every few tens of milliseconds, so a stream that pauses
 /// for a second is late already.
-pub const ANSWER_SILENCE: Duration = Duration::from_secs(1);
+pub const RESPONSE_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Two ticks further apart than this mean that this process itself was paused.
 const PROCESS_PAUSE_MIN: Duration = Duration::from_millis(250);
 /// Attempts refused by dead endpoints that one request may have on top of its regular attempts.
@@ -50,7 +50,7 @@
     pub queue_limit: usize,
     /// Maximum number of requests in flight from this VM.
     pub max_in_flight: usize,
-    pub learn: bool,
+    pub learn_limit: bool,
     pub shares: HashMap<WorkspaceId, f64>,
 }
 
@@ -77,11 +77,11 @@
 pub enum AttemptOutcome {
     Done,
     Failed {
-        reach: AttemptStage,
+        stage: AttemptStage,
         /// The endpoint caused the failure; refusing an invalid request is not an endpoint fault.
-        blame: bool,
+        endpoint_fault: bool,
         /// The endpoint's process has exited.
-        ended: bool,
+        endpoint_ended: bool,
     },
     /// The caller disconnected.
     Abandoned,
@@ -469,7 +469,7 @@
             return;
         };
         let (time, goal) = (now.saturating_sub(row.sent_at), service.first_token_goal);
-        let learn = service.learn;
+        let learn = service.learn_limit;
         let Some(endpoint) = row.endpoint.and_then(|id| self.endpoints.get_mut(id)) else {
             return;
         };
@@ -514,9 +514,9 @@
             }
             AttemptOutcome::Abandoned => {}
             AttemptOutcome::Failed {
-                reach,
-                blame,
-                ended,
+                stage: reach,
+                endpoint_fault: blame,
+                endpoint_ended: ended,
             } => {
                 if let Some(endpoint) = endpoint.filter(|_| blame) {
                     match reach {
@@ -607,8 +607,8 @@
             };
             let since = endpoint.last_received_at.max(oldest).max(resumed_at);
             let bound = match answering || !endpoint.may_queue(now) {
-                true => SILENCE,
-                false => SILENCE_CROWDED,
+                true => SILENCE_TIMEOUT,
+                false => QUEUED_SILENCE_TIMEOUT,
             };
             if now < since + bound {
                 continue;
@@ -635,9 +635,9 @@
             let endpoint = row.endpoint.and_then(|id| endpoints.get(id));
             let may_queue = endpoint.is_some_and(|endpoint| endpoint.may_queue(now));
             let bound = match row.answering {
-                true => ANSWER_SILENCE,
+                true => RESPONSE_SILENCE_TIMEOUT,
                 false if may_queue => continue,
-                false => SILENCE_CROWDED,
+                false => QUEUED_SILENCE_TIMEOUT,
             };
             if now >= row.last_received_at.max(resumed_at) + bound {
                 row.give_up(out);
--- a/src/decide/orders.rs
+++ b/src/decide/orders.rs
@@ -12,11 +12,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::commit::Answer;
+use super::commit::WriteOutcome;
 use crate::id::{EndpointId, Epoch, Name, Nonce, Revision, VmId};
 
 /// Length of the lease.
-pub const LEASE: Duration = Duration::from_secs(6);
+pub const LEASE_DURATION: Duration = Duration::from_secs(6);
 /// Interval between renewals.
 pub const LEASE_RENEW_INTERVAL: Duration = Duration::from_secs(2);
 /// The holder sends no order in the last part of its lease, and its successor none in the first
@@ -181,14 +181,14 @@
 
     /// Applies the answer to a lease request; `None` when another VM has the lease or the store is
     /// unavailable.
-    pub fn leased(&mut self, now: Duration, lease: Option<u64>, out: &mut Vec<Action>) {
+    pub fn lease_answered(&mut self, now: Duration, lease: Option<u64>, out: &mut Vec<Action>) {
         if self.phase != Phase::Requested {
             return;
         }
         let Some(lease) = lease else {
             return self.lose_lease(now);
         };
-        let until = self.sent_at + LEASE;
+        let until = self.sent_at + LEASE_DURATION;
         self.phase = Phase::Fencing {
             lease,
             until,
@@ -198,12 +198,12 @@
     }
 
     /// Applies the answer to a renewal; `None` when it is unknown whether the renewal took effect.
-    pub fn renewed(&mut self, now: Duration, alive: Option<bool>) {
+    pub fn renewal_answered(&mut self, now: Duration, alive: Option<bool>) {
         self.renewing = false;
         self.renew_at = now + LEASE_RENEW_INTERVAL;
         let sent_at = self.sent_at;
         match (&mut self.phase, alive) {
-            (Phase::Holding { until, .. }, Some(true)) => *until = sent_at + LEASE,
+            (Phase::Holding { until, .. }, Some(true)) => *until = sent_at + LEASE_DURATION,
             (Phase::Holding { .. }, Some(false)) => self.lose_lease(now),
             // When in doubt, the lease keeps its previous end.
             _ => {}
@@ -245,7 +245,7 @@
     }
 
     /// Applies the answer to the write of the fence record.
-    pub fn fence_written(&mut self, now: Duration, answer: Answer, out: &mut Vec<Action>) {
+    pub fn fence_written(&mut self, now: Duration, answer: WriteOutcome, out: &mut Vec<Action>) {
         let Phase::Fencing {
             record: Some(record),
             ..
@@ -255,9 +255,9 @@
         };
         let record = record.clone();
         match answer {
-            Answer::Won(_) => self.hold(now, &record),
-            Answer::Lost | Answer::Unknown => out.push(Action::ReadFence),
-            Answer::Away => self.lose_lease(now),
+            WriteOutcome::Won(_) => self.hold(now, &record),
+            WriteOutcome::Lost | WriteOutcome::Unknown => out.push(Action::ReadFence),
+            WriteOutcome::Away => self.lose_lease(now),
         }
     }
 
@@ -276,7 +276,7 @@
     }
 
     /// An endpoint refused an order as stale: another holder has a higher fencing number.
-    pub fn refused(&mut self, now: Duration) {
+    pub fn order_refused(&mut self, now: Duration) {
         self.lose_lease(now);
     }
 
--- a/src/decide/peers.rs
+++ b/src/decide/peers.rs
@@ -5,25 +5,25 @@
 //! its delegates only: which VMs are alive comes from the registrations in the store, and their
 //! state from domain summaries.
 
-mod asking;
 mod delegates;
+mod domain_usage;
 mod domains;
 mod messages;
-mod round;
-mod speaking;
-mod uses;
+mod queries;
+mod summaries;
+mod summary_round;
 mod waiting;
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-pub use self::asking::{KnownVersions, NewerPeers};
 pub use self::delegates::{DOMAIN_MESH_PEERS_MAX, FULL_MESH_VMS_MAX, SUMMARY_INTERVAL};
+pub use self::domain_usage::{DomainUsage, EndpointUses};
 pub use self::domains::Domains;
 pub use self::messages::{EndpointUseRow, Heartbeat, QuotaCounts, Summary, VmRecord};
-pub use self::round::SummaryRound;
-pub use self::uses::{DomainUsage, EndpointUses};
+pub use self::queries::{KnownVersions, NewerPeers};
+pub use self::summary_round::SummaryRound;
 use super::backlog::RouteKey;
 use crate::id::{self, ranked, ConfigVersion, DomainId, OwnerId, Revision, VmId};
 
@@ -72,7 +72,7 @@
     pub core_share: f64,
     pub draining: bool,
     /// The metadata store answers it and it is not draining.
-    pub fit: bool,
+    pub eligible: bool,
 }
 
 /// All known VMs but this one.
@@ -208,8 +208,8 @@
             last_seen_at: now,
             registered: known.is_some_and(|peer| peer.registered),
             draining: heartbeat.draining,
-            store_available: heartbeat.store,
-            store_available_since: heartbeat.store.then_some(available_since),
+            store_available: heartbeat.store_available,
+            store_available_since: heartbeat.store_available.then_some(available_since),
             rules: heartbeat.rules,
             endpoints: heartbeat.endpoints,
             jobs: heartbeat.jobs,
--- a/src/decide/peers/uses.rs
+++ b/src/decide/peers/domain_usage.rs
@@ -91,7 +91,7 @@
 /// the excess of all failure domains there.
 fn excess(row: &Endpoint, batch: u32) -> u32 {
     let over = (row.online() + row.batch).saturating_sub(row.limit.slots() as u32);
-    let excess = over.min(row.batch.saturating_sub(row.kept));
+    let excess = over.min(row.batch.saturating_sub(row.reserved_slots));
     if excess == 0 || batch == 0 {
         return 0;
     }
--- a/src/decide/peers/domains.rs
+++ b/src/decide/peers/domains.rs
@@ -49,7 +49,7 @@
     /// Applies a summary; false when it is late or a duplicate.
     pub fn apply_summary(&mut self, now: Duration, summary: &Summary) -> bool {
         let newest = (summary.sequence, summary.part);
-        let known = self.delegates.get(&summary.by);
+        let known = self.delegates.get(&summary.delegate);
         let same = known.filter(|delegate| delegate.owner == summary.owner);
         if same.is_some_and(|delegate| newest <= delegate.newest) {
             return false;
@@ -65,12 +65,12 @@
             domain: summary.domain,
             peer_address: summary.peer_address,
             draining: summary.draining,
-            store_available: summary.store,
-            store_available_since: summary.store.then_some(since),
+            store_available: summary.store_available,
+            store_available_since: summary.store_available.then_some(since),
             rules: summary.rules,
             endpoints: summary.endpoints,
         };
-        self.delegates.insert(summary.by, delegate);
+        self.delegates.insert(summary.delegate, delegate);
         // The first part carries everything but endpoint rows, which `Usage` counts.
         if summary.part == 0 {
             self.domains
--- a/src/decide/peers/messages.rs
+++ b/src/decide/peers/messages.rs
@@ -44,12 +44,12 @@
     pub sequence: u64,
     pub draining: bool,
     /// Whether the metadata store answers it.
-    pub store: bool,
+    pub store_available: bool,
     /// 0 while it has none.
     pub rules: ConfigVersion,
     pub endpoints: Revision,
     /// Ages of the last store confirmations that the sender has all rules and endpoints.
-    pub proofs: ConfirmationAges,
+    pub confirmation_ages: ConfirmationAges,
     /// Of the newest record of a batch job.
     pub jobs: Revision,
     /// Batch items that wait there for a slot.
@@ -75,7 +75,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The delegate and its process.
-    pub by: VmId,
+    pub delegate: VmId,
     pub owner: OwnerId,
     pub domain: DomainId,
     /// Increases with each summary round of this process.
@@ -86,11 +86,11 @@
     pub peer_address: SocketAddr,
     pub draining: bool,
     /// Whether the metadata store answers the delegate.
-    pub store: bool,
+    pub store_available: bool,
     /// Versions that the delegate itself has, so that they can be fetched from it.
     pub rules: ConfigVersion,
     pub endpoints: Revision,
-    pub proofs: ConfirmationAges,
+    pub confirmation_ages: ConfirmationAges,
     /// Of the newest record of a batch job at any VM of the failure domain.
     pub jobs: Revision,
     /// Batch items that wait for a slot.
@@ -104,7 +104,7 @@
     /// VMs with waiting items, and how many; sent to the local failure domain only.
     pub competing_vms: Vec<(VmId, u32)>,
     /// Items that the addressed VM may keep at an endpoint that is over its limit.
-    pub keeps: Vec<(EndpointId, u32)>,
+    pub item_allowances: Vec<(EndpointId, u32)>,
     /// VMs whose heartbeats arrive at the delegate, itself included.
     pub vms: u32,
     /// Requests counted against quotas at the VMs of the failure domain, without the addressed
--- a/src/decide/peers/asking.rs
+++ b/src/decide/peers/queries.rs
@@ -40,7 +40,7 @@
     /// one order. In a large one the delegates of one failure domain come first, then those of each
     /// other domain, then two of the VMs that they represent in each.
     pub fn refresh_rank(&self, now: Duration, local: LocalVm) -> Option<usize> {
-        if !local.fit && !local.draining {
+        if !local.eligible && !local.draining {
             return None;
         }
         if !self.is_large() {
@@ -104,7 +104,7 @@
                 && !peer.draining
         });
         let others = eligible.clone().map(|(vm, _)| *vm);
-        let vms = others.chain(local.fit.then_some(local.vm));
+        let vms = others.chain(local.eligible.then_some(local.vm));
         let first = ranked(KEY_WATCHER, vms).first().copied()?;
         let (_, peer) = eligible.clone().find(|(vm, _)| **vm == first)?;
         peer.peer_address
@@ -117,7 +117,7 @@
     /// would each call the store several times a second during an outage, which is billed and
     /// returns nothing. Such a delegate still forwards what the other failure domains have.
     fn watching_delegate(&self, now: Duration, local: LocalVm) -> Option<SocketAddr> {
-        if self.is_delegate(local.vm) && local.fit {
+        if self.is_delegate(local.vm) && local.eligible {
             return None;
         }
         let others = self.delegates.iter().filter(|vm| **vm != local.vm);
--- a/src/decide/peers/speaking.rs
+++ b/src/decide/peers/summaries.rs
@@ -8,9 +8,9 @@
     delegate_order, rounds_per_remote_summary, Candidate, DELEGATES_PER_DOMAIN,
     ROUNDS_PER_MESH_SUMMARY,
 };
+use super::domain_usage::{DomainUsage, EndpointUses};
 use super::messages::{Heartbeat, Summary};
-use super::round::SummaryRound;
-use super::uses::{DomainUsage, EndpointUses};
+use super::summary_round::SummaryRound;
 use super::{LocalVm, Peer, Peers, PEER_TIMEOUT};
 use crate::decide::backlog::RouteKey;
 use crate::decide::endpoints::Endpoints;
@@ -175,7 +175,7 @@
         let sender = self
             .remote_delegates
             .iter()
-            .find(|(_, vm)| *vm == summary.by);
+            .find(|(_, vm)| *vm == summary.delegate);
         // The first delegate forwards those of a sender that is no delegate in this VM's view.
         rank.is_some_and(|rank| rank == sender.map_or(0, |(rank, _)| *rank))
     }
--- a/src/decide/peers/round.rs
+++ b/src/decide/peers/summary_round.rs
@@ -4,9 +4,9 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
+use super::domain_usage::{DomainUsage, EndpointUses};
 use super::messages::{Heartbeat, QuotaCounts, Summary};
-use super::speaking::DomainTotals;
-use super::uses::{DomainUsage, EndpointUses};
+use super::summaries::DomainTotals;
 use crate::decide::endpoints::Endpoints;
 use crate::decide::quota::{DomainCounts, WorkspaceCount};
 use crate::id::{self, EndpointId, VmId};
@@ -59,7 +59,7 @@
     ) -> SummaryRound {
         let keeps = uses.item_allowances(endpoints);
         let summary = Summary {
-            by: id::of(&heartbeat.name),
+            delegate: id::of(&heartbeat.name),
             owner: heartbeat.owner,
             domain: heartbeat.domain,
             sequence: heartbeat.sequence,
@@ -67,17 +67,17 @@
             parts: 1,
             peer_address,
             draining: heartbeat.draining,
-            store: heartbeat.store,
+            store_available: heartbeat.store_available,
             rules: heartbeat.rules,
             endpoints: heartbeat.endpoints,
-            proofs: heartbeat.proofs,
+            confirmation_ages: heartbeat.confirmation_ages,
             jobs: totals.jobs,
             waiting: totals.competing_vms.iter().map(|(_, items)| items).sum(),
             backlog: truncated(totals.backlog, BACKLOG_MAX),
             unregistered: truncated(totals.unregistered, UNREGISTERED_MAX),
             draining_vms: truncated(totals.draining_vms, DRAINING_VMS_MAX),
             competing_vms: Vec::new(),
-            keeps: Vec::new(),
+            item_allowances: Vec::new(),
             vms: counts.vms,
             counts: QuotaCounts {
                 counted_for_ms: counts.counted_for.as_millis() as u32,
@@ -105,7 +105,7 @@
         let keeps = self.item_allowances.get(&vm).map_or(&[][..], Vec::as_slice);
         let first = Summary {
             competing_vms: others.take(COMPETING_VMS_MAX).copied().collect(),
-            keeps: keeps.iter().take(ALLOWANCES_MAX).copied().collect(),
+            item_allowances: keeps.iter().take(ALLOWANCES_MAX).copied().collect(),
             counts: self.truncated_counts(self.counts.without(vm)),
             ..self.summary.clone()
         };
@@ -132,7 +132,7 @@
     /// lists.
     fn parts(&self, first: Summary, rows: &EndpointUses) -> Vec<Summary> {
         let entries = first.competing_vms.len()
-            + first.keeps.len()
+            + first.item_allowances.len()
             + first.unregistered.len()
             + first.draining_vms.len()
             + first.backlog.len()
--- a/src/decide/quarantine.rs
+++ b/src/decide/quarantine.rs
@@ -18,7 +18,7 @@
 mod evidence;
 mod fingerprint;
 pub mod report;
-mod row;
+mod tracked_request;
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -28,8 +28,8 @@
 use self::evidence::{count_bursts, EndpointEnd, RecentAnswers};
 pub use self::fingerprint::{Fingerprint, InvalidFingerprint, RequestIdentity};
 pub use self::report::{QuarantineReport, REPORTS_PER_DATAGRAM_MAX};
-use self::row::TrackedRequest;
-pub use self::row::{FAILURE_BURSTS_MIN, HOLD_TIME};
+use self::tracked_request::TrackedRequest;
+pub use self::tracked_request::{FAILURE_BURSTS_MIN, HOLD_TIME};
 use crate::id::EndpointId;
 
 /// Failure bursts of unrelated endpoints that raise the threshold by one: where endpoints end for
--- a/src/decide/quarantine/report.rs
+++ b/src/decide/quarantine/report.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::evidence::EndpointEnd;
-use super::row::TrackedRequest;
+use super::tracked_request::TrackedRequest;
 use super::Fingerprint;
 use crate::decide::peers::Peers;
 use crate::id::{DomainId, EndpointId, VmId};
--- a/src/decide/quota.rs
+++ b/src/decide/quota.rs
@@ -111,9 +111,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetView {
     /// Whether the metadata store answers this VM.
-    pub store: bool,
+    pub store_available: bool,
     /// Whether VMs report to their delegates only.
-    pub large: bool,
+    pub uses_delegates: bool,
     /// VMs that may admit requests, this one included, as last reported by the store and the other
     /// VMs.
     pub vms: u32,
@@ -257,7 +257,7 @@
     }
 
     /// Records that a process has been replaced and is certainly gone: nothing is reserved for it.
-    pub fn replaced(&mut self, owner: OwnerId) {
+    pub fn process_replaced(&mut self, owner: OwnerId) {
         if let Some(report) = self.reports.get_mut(&CountSource::Process(owner)) {
             report.leaving = true;
         }
@@ -298,7 +298,7 @@
     /// Updates what depends on time alone; called every few tens of milliseconds.
     pub fn tick(&mut self, now: Duration, view: FleetView) {
         self.expected_vms = view.vms;
-        self.report_delay = match view.large {
+        self.report_delay = match view.uses_delegates {
             true => DELEGATED_REPORT_DELAY,
             false => REPORT_DELAY,
         };
@@ -553,10 +553,10 @@
             .map(|report| report.vms)
             .sum();
         let all = self.fleet_vms();
-        let isolated = !view.store && 2 * (reporting + 1) < all;
+        let isolated = !view.store_available && 2 * (reporting + 1) < all;
         // Silent VMs are dropped from the reports after a while; without this rule an isolated VM
         // would then count itself as the majority.
-        let was_isolated = !view.store && self.isolated_since.is_some();
+        let was_isolated = !view.store_available && self.isolated_since.is_some();
         self.isolated_since = match isolated || (was_isolated && reporting == 0) {
             true => self.isolated_since.or(Some(now)),
             false => None,
--- a/src/decide/retry.rs
+++ b/src/decide/retry.rs
@@ -14,7 +14,7 @@
 pub const SAVED_RETRIES_MAX: f64 = 10.0;
 /// Maximum number of attempts of one request, the first included, unless its route sets another
 /// limit.
-pub const TRIES_MAX: u32 = 3;
+pub const ATTEMPTS_MAX_DEFAULT: u32 = 3;
 
 /// How far a failed attempt got.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, IntoStaticStr)]
--- a/src/decide/routing.rs
+++ b/src/decide/routing.rs
@@ -91,7 +91,7 @@
     };
     for (test, local) in preferences {
         let fits = |row: &Endpoint| {
-            let is_local = (row.declared.domain == local_domain) == *local;
+            let is_local = (row.config.domain == local_domain) == *local;
             is_local && row.usable(now) && test(row, now) && query.avoid != Some(row.id)
         };
         if let Some(found) = best(table, query, policy, now, rng, fits) {
--- a/src/decide/slot_grants.rs
+++ b/src/decide/slot_grants.rs
@@ -66,7 +66,7 @@
     }
 
     /// Records a start.
-    pub fn started(&mut self, now: Duration, endpoint: EndpointId) {
+    pub fn record_start(&mut self, now: Duration, endpoint: EndpointId) {
         self.recent_starts.retain(|_, starts| {
             starts.retain(|at| now < *at + START_UNSEEN_TIME);
             !starts.is_empty()
--- a/src/decide/small_jobs.rs
+++ b/src/decide/small_jobs.rs
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, IntoStaticStr)]
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
-pub enum Outcome {
+pub enum ItemOutcome {
     Completed,
     Errored,
 }
@@ -49,14 +49,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListedResult {
     pub item: ItemIndex,
-    pub outcome: Outcome,
+    pub outcome: ItemOutcome,
     /// The part that contains its text.
     pub part: u32,
 }
 
 /// One job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Record {
+pub struct SmallJobRecord {
     pub id: JobId,
     /// Host that the job was submitted to; its items use the routes of this host.
     pub host: Name,
@@ -94,21 +94,21 @@
 
 /// The result of an item's run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Finished {
+pub struct FinishedItem {
     pub item: ItemIndex,
-    pub outcome: Outcome,
+    pub outcome: ItemOutcome,
     pub text: String,
 }
 
 /// The new record and text parts for one write.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Listing {
-    pub record: Record,
+pub struct ListUpdate {
+    pub record: SmallJobRecord,
     /// New text parts by number; each contains the texts of its results in order.
     pub parts: Vec<(u32, Vec<String>)>,
 }
 
-impl Record {
+impl SmallJobRecord {
     /// Whether every item is listed.
     pub fn complete(&self) -> bool {
         self.listed.len() == self.items.len()
@@ -120,8 +120,8 @@
     }
 
     /// The record with a claim; `None` when no items are left to run.
-    pub fn claim(&self, owner: OwnerId, nonce: Nonce) -> Option<Record> {
-        (!self.ended()).then(|| Record {
+    pub fn claim(&self, owner: OwnerId, nonce: Nonce) -> Option<SmallJobRecord> {
+        (!self.ended()).then(|| SmallJobRecord {
             owner,
             epoch: self.epoch + 1,
             nonce,
@@ -130,8 +130,8 @@
     }
 
     /// The record handed over to another owner; 0 for the first process that claims it.
-    pub fn hand_over(&self, owner: OwnerId, to: OwnerId, nonce: Nonce) -> Option<Record> {
-        (self.owner == owner && !self.ended()).then(|| Record {
+    pub fn hand_over(&self, owner: OwnerId, to: OwnerId, nonce: Nonce) -> Option<SmallJobRecord> {
+        (self.owner == owner && !self.ended()).then(|| SmallJobRecord {
             owner: to,
             // Results are listed under the epoch of their owner, and all results of this owner have
             // been listed.
@@ -142,8 +142,8 @@
     }
 
     /// The record with a cancellation; `None` when it was cancelled before.
-    pub fn cancel(&self, nonce: Nonce) -> Option<Record> {
-        (!self.cancelled).then(|| Record {
+    pub fn cancel(&self, nonce: Nonce) -> Option<SmallJobRecord> {
+        (!self.cancelled).then(|| SmallJobRecord {
             cancelled: true,
             nonce,
             ..self.clone()
@@ -189,10 +189,10 @@
         &self,
         owner: OwnerId,
         epoch: Epoch,
-        finished: &[Finished],
+        finished: &[FinishedItem],
         failures: &[(ItemIndex, u32)],
         nonce: Nonce,
-    ) -> Option<Listing> {
+    ) -> Option<ListUpdate> {
         if self.owner != owner || self.epoch != epoch || self.cancelled {
             return None;
         }
@@ -231,7 +231,7 @@
             .retain(|(item, _)| !listed.iter().any(|row| row.item == *item));
         record.nonce = nonce;
         let changed = record.listed != self.listed || record.failures != self.failures;
-        changed.then_some(Listing { record, parts })
+        changed.then_some(ListUpdate { record, parts })
     }
 
     fn count_failures(&mut self, item: ItemIndex, count: u32) {
@@ -242,7 +242,7 @@
     }
 
     /// Location of the text of the result at `position`: its part, and its index in the part.
-    pub fn text_place(&self, position: usize) -> Option<(u32, usize)> {
+    pub fn text_location(&self, position: usize) -> Option<(u32, usize)> {
         let row = self.listed.get(position)?;
         let before = self.listed[..position].iter().rev();
         let index = before.take_while(|other| other.part == row.part).count();
@@ -250,7 +250,7 @@
     }
 
     /// The part that contains an item's body, and its index in the part.
-    pub fn body_place(&self, item: ItemIndex) -> Option<(u32, usize)> {
+    pub fn body_location(&self, item: ItemIndex) -> Option<(u32, usize)> {
         let part = self.body_parts.partition_point(|first| *first <= item);
         let part = part.checked_sub(1)?;
         Some((part as u32, (item - self.body_parts[part]) as usize))
@@ -258,7 +258,7 @@
 }
 
 /// The first id that occurs twice.
-pub fn named_twice(items: &[Item]) -> Option<&Name> {
+pub fn duplicate_id(items: &[Item]) -> Option<&Name> {
     let mut seen = HashSet::new();
     let mut ids = items.iter().map(|item| &item.id);
     ids.find(|id| !seen.insert(*id))
@@ -290,11 +290,11 @@
 }
 
 /// Prefix of the record keys; these keys are watched.
-pub const RECORDS: &str = "small/live/job/";
+pub const RECORD_PREFIX: &str = "small/live/job/";
 
 /// Key of a job's record.
 pub fn record_key(job: &str) -> String {
-    format!("{RECORDS}{job}")
+    format!("{RECORD_PREFIX}{job}")
 }
 
 /// Key of a part with item bodies.
--- a/src/decide/usage.rs
+++ b/src/decide/usage.rs
@@ -54,7 +54,7 @@
     pub batch: u32,
     pub urgent: u32,
     /// VMs with online requests there.
-    pub online_users: u32,
+    pub online_vms: u32,
 }
 
 impl RemoteUse {
@@ -64,7 +64,7 @@
             online: u32::from(one.online),
             batch: u32::from(one.batch),
             urgent: u32::from(one.urgent),
-            online_users: u32::from(one.online > 0),
+            online_vms: u32::from(one.online > 0),
         }
     }
 
@@ -73,7 +73,7 @@
         self.online += one.online;
         self.batch += one.batch;
         self.urgent += one.urgent;
-        self.online_users += one.online_users;
+        self.online_vms += one.online_vms;
     }
 
     /// Subtracts a use that was added before.
@@ -81,7 +81,7 @@
         self.online -= one.online;
         self.batch -= one.batch;
         self.urgent -= one.urgent;
-        self.online_users -= one.online_users;
+        self.online_vms -= one.online_vms;
     }
 }
 
@@ -166,12 +166,12 @@
     }
 
     /// The sum over all other VMs.
-    pub fn of(&self, endpoint: EndpointId) -> RemoteUse {
+    pub fn total(&self, endpoint: EndpointId) -> RemoteUse {
         self.sums.get(&endpoint).copied().unwrap_or_default()
     }
 
     /// VMs with batch work at an endpoint; a group that is reported as one counts as one.
-    pub fn batch_users(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
+    pub fn batch_vms(&self, endpoint: EndpointId) -> Vec<(VmId, u32)> {
         let of = |(vm, report): (&VmId, &UseReport)| {
             let at = |(at, _): &&(EndpointId, RemoteUse)| *at == endpoint;
             let batch = report.uses.iter().find(at).map_or(0, |(_, one)| one.batch);
--- a/src/engine.rs
+++ b/src/engine.rs
@@ -23,21 +23,21 @@
 
 /// Why an attempt failed.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fault {
-    pub reach: AttemptStage,
+pub struct AttemptError {
+    pub stage: AttemptStage,
     /// Whether the failure counts against the endpoint.
     pub blame: bool,
     /// The connection broke after the request was sent.
-    pub died: bool,
+    pub connection_lost: bool,
     pub detail: String,
 }
 
-impl Fault {
-    fn new(reach: AttemptStage, died: bool, detail: impl Into<String>) -> Fault {
-        Fault {
-            reach,
+impl AttemptError {
+    fn new(reach: AttemptStage, died: bool, detail: impl Into<String>) -> AttemptError {
+        AttemptError {
+            stage: reach,
             blame: true,
-            died,
+            connection_lost: died,
             detail: detail.into(),
         }
     }
@@ -110,7 +110,7 @@
     }
 
     /// Sends a request and reads the complete response.
-    pub fn call(&self, call: Call<'_>, idempotent: bool) -> Result<Answer, Fault> {
+    pub fn call(&self, call: Call<'_>, idempotent: bool) -> Result<Answer, AttemptError> {
         let agent = if idempotent {
             &self.calls
         } else {
@@ -120,7 +120,7 @@
         let status = response.status();
         let echoed = response.header(ATTEMPT_HEADER).map(str::to_owned);
         if echoed.is_some_and(|echoed| echoed != call.attempt) {
-            return Err(Fault::new(
+            return Err(AttemptError::new(
                 AttemptStage::MaybeSent,
                 false,
                 "the answer is another request's",
@@ -135,9 +135,9 @@
             .into_reader()
             .take(ANSWER_BYTES_MAX as u64)
             .read_to_end(&mut body);
-        read.map_err(|error| Fault::new(AttemptStage::MaybeSent, true, error.to_string()))?;
+        read.map_err(|error| AttemptError::new(AttemptStage::MaybeSent, true, error.to_string()))?;
         if length.is_some_and(|length| length != body.len()) || body.len() == ANSWER_BYTES_MAX {
-            return Err(Fault::new(
+            return Err(AttemptError::new(
                 AttemptStage::MaybeSent,
                 true,
                 "the answer is cut short",
@@ -146,7 +146,7 @@
         if content_type == "application/json"
             && serde_json::from_slice::<serde::de::IgnoredAny>(&body).is_err()
         {
-            return Err(Fault::new(
+            return Err(AttemptError::new(
                 AttemptStage::MaybeSent,
                 false,
                 "the answer is not whole JSON",
@@ -160,7 +160,7 @@
     }
 
     /// Sends a request whose response is an event stream.
-    pub fn stream(&self, call: Call<'_>) -> Result<Started, Fault> {
+    pub fn stream(&self, call: Call<'_>) -> Result<StreamResponse, AttemptError> {
         let response = send(&self.streams, call)?;
         stream_response(response, call.attempt)
     }
@@ -172,11 +172,11 @@
         attempt: &str,
         offset: u64,
         timeout: Duration,
-    ) -> Result<Started, Fault> {
+    ) -> Result<StreamResponse, AttemptError> {
         let url = format!("http://{address}/attempts/{attempt}/stream?offset={offset}");
         let sent = self.streams.get(&url).timeout(timeout).call();
-        let response =
-            sent.map_err(|error| Fault::new(AttemptStage::MaybeSent, true, error.to_string()))?;
+        let response = sent
+            .map_err(|error| AttemptError::new(AttemptStage::MaybeSent, true, error.to_string()))?;
         stream_response(response, attempt)
     }
 
@@ -187,9 +187,9 @@
     }
 
     /// Reads an endpoint's load report.
-    pub fn load(&self, address: &str) -> Result<EndpointReport, Fault> {
+    pub fn load(&self, address: &str) -> Result<EndpointReport, AttemptError> {
         let url = format!("http://{address}/load");
-        let failed = |detail: String| Fault::new(AttemptStage::MaybeSent, false, detail);
+        let failed = |detail: String| AttemptError::new(AttemptStage::MaybeSent, false, detail);
         let response = self
             .control
             .get(&url)
@@ -205,18 +205,22 @@
     }
 
     /// Sends an order; returns the response status.
-    pub fn order(&self, address: &str, order: &impl Serialize) -> Result<u16, Fault> {
+    pub fn order(&self, address: &str, order: &impl Serialize) -> Result<u16, AttemptError> {
         let url = format!("http://{address}/orders");
         let body = serde_json::to_vec(order).unwrap_or_default();
         match self.control.post(&url).send_bytes(&body) {
             Ok(response) => Ok(response.status()),
             Err(ureq::Error::Status(status, _)) => Ok(status),
-            Err(error) => Err(Fault::new(AttemptStage::MaybeSent, true, error.to_string())),
+            Err(error) => Err(AttemptError::new(
+                AttemptStage::MaybeSent,
+                true,
+                error.to_string(),
+            )),
         }
     }
 }
 
-fn send(agent: &ureq::Agent, call: Call<'_>) -> Result<ureq::Response, Fault> {
+fn send(agent: &ureq::Agent, call: Call<'_>) -> Result<ureq::Response, AttemptError> {
     let url = format!("http://{}{}", call.address, call.path);
     let mut request = agent
         .request(call.method, &url)
@@ -228,12 +232,12 @@
     }
     match request.send_bytes(call.body) {
         Ok(response) => Ok(response),
-        Err(ureq::Error::Status(503, _)) => Err(Fault::new(
+        Err(ureq::Error::Status(503, _)) => Err(AttemptError::new(
             AttemptStage::Refused,
             false,
             "the endpoint takes nothing now",
         )),
-        Err(ureq::Error::Status(status, _)) if status >= 500 => Err(Fault::new(
+        Err(ureq::Error::Status(status, _)) if status >= 500 => Err(AttemptError::new(
             AttemptStage::MaybeSent,
             false,
             format!("the endpoint answered {status}"),
@@ -244,7 +248,7 @@
                 ureq::ErrorKind::ConnectionFailed | ureq::ErrorKind::Dns => AttemptStage::NotSent,
                 _ => AttemptStage::MaybeSent,
             };
-            Err(Fault::new(
+            Err(AttemptError::new(
                 reach,
                 reach == AttemptStage::MaybeSent,
                 transport.to_string(),
@@ -254,17 +258,20 @@
 }
 
 /// A stream that has started, or a response that is not a stream.
-pub enum Started {
+pub enum StreamResponse {
     Stream(Events),
     Whole(Answer),
 }
 
-fn stream_response(response: ureq::Response, attempt: &str) -> Result<Started, Fault> {
+fn stream_response(
+    response: ureq::Response,
+    attempt: &str,
+) -> Result<StreamResponse, AttemptError> {
     if response
         .header(ATTEMPT_HEADER)
         .is_some_and(|echoed| echoed != attempt)
     {
-        return Err(Fault::new(
+        return Err(AttemptError::new(
             AttemptStage::MaybeSent,
             false,
             "the answer is another request's",
@@ -273,7 +280,7 @@
     let (status, content_type) = (response.status(), response.content_type().to_owned());
     if status == 200 && content_type == "text/event-stream" {
         let input = BufReader::new(response.into_reader());
-        return Ok(Started::Stream(Events {
+        return Ok(StreamResponse::Stream(Events {
             input: Box::new(input),
             events_read: 0,
         }));
@@ -283,8 +290,8 @@
         .into_reader()
         .take(EVENT_BYTES_MAX as u64)
         .read_to_end(&mut body);
-    read.map_err(|error| Fault::new(AttemptStage::MaybeSent, true, error.to_string()))?;
-    Ok(Started::Whole(Answer {
+    read.map_err(|error| AttemptError::new(AttemptStage::MaybeSent, true, error.to_string()))?;
+    Ok(StreamResponse::Whole(Answer {
         status,
         content_type,
         body: body.into(),
@@ -309,8 +316,8 @@
 
 impl Events {
     /// Reads the next event; a stream that ends without the end marker is an error.
-    pub fn read(&mut self) -> Result<Event, Fault> {
-        let broken = |detail: String| Fault::new(AttemptStage::MaybeSent, true, detail);
+    pub fn read(&mut self) -> Result<Event, AttemptError> {
+        let broken = |detail: String| AttemptError::new(AttemptStage::MaybeSent, true, detail);
         let mut event = Vec::new();
         loop {
             let before = event.len();
@@ -331,8 +338,8 @@
         }
         if event.starts_with(b"data: {\"error\"") {
             let detail = String::from_utf8_lossy(&event).trim().to_owned();
-            return Err(Fault {
-                died: false,
+            return Err(AttemptError {
+                connection_lost: false,
                 ..broken(detail)
             });
         }
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -1,22 +1,22 @@
 //! `bramley-entry`: serves callers, and maintains the membership, the configuration and the
 //! endpoint table.
 
+pub mod batch_link;
+pub mod batch_server;
+pub mod batch_updates;
+pub mod config_index;
 pub mod counters;
-pub mod feed;
 pub mod files;
 pub mod gossip;
 pub mod intent;
+pub mod job_table;
 pub mod jobs;
-pub mod links;
-pub mod local;
 pub mod node;
 pub mod online;
 pub mod operators;
 pub mod orders;
 pub mod plain;
-pub mod plan;
-pub mod question;
-pub mod table;
+pub mod range_request;
 pub mod watch;
 
 use std::io;
@@ -81,7 +81,7 @@
     gossip::serve_peers(&node, peers).context(ListenSnafu {
         what: "peer_address",
     })?;
-    local::serve(&node, local).context(ListenSnafu {
+    batch_server::serve(&node, batch_server).context(ListenSnafu {
         what: "local_address",
     })?;
     operators::serve(&node, operators).context(ListenSnafu {
@@ -149,8 +149,9 @@
         Some(config) => config,
         None => {
             let detail = "no configuration is in force here yet";
-            return out
-                .problem(&Problem::not_run(RefusalKind::NotReady, detail).after(RETRY_AFTER));
+            return out.problem(
+                &Problem::not_run(RefusalKind::NotReady, detail).with_retry_after(RETRY_AFTER),
+            );
         }
     };
     let Some(workspace) = config.workspace_of(request) else {
@@ -182,6 +183,8 @@
 fn answer_ready(node: &Node, out: &mut Responder) -> io::Result<()> {
     match node.ready() {
         Ok(()) => out.json(200, &serde_json::json!({ "ready": true })),
-        Err(why) => out.problem(&Problem::not_run(RefusalKind::NotReady, why).after(RETRY_AFTER)),
+        Err(why) => {
+            out.problem(&Problem::not_run(RefusalKind::NotReady, why).with_retry_after(RETRY_AFTER))
+        }
     }
 }
--- a/src/entry/feed.rs
+++ b/src/entry/batch_updates.rs
@@ -29,10 +29,10 @@
         });
         let mut windows = Vec::new();
         for row in &state.online.endpoints.rows {
-            if row.declared.domain != state.fleet.card.domain || !row.usable(now) {
+            if row.config.domain != state.fleet.status.domain || !row.usable(now) {
                 continue;
             }
-            if state.fleet.assigned_vm(row.id) != Some(state.fleet.card.vm) {
+            if state.fleet.assigned_vm(row.id) != Some(state.fleet.status.vm) {
                 continue;
             }
             let load = EndpointLoad {
@@ -41,8 +41,8 @@
                 online_at: state.online_at.get(&row.id).copied(),
                 urgent,
             };
-            let count = window::batch_window(load, config.batch_weight(row.declared.service), now);
-            windows.push((row.id, row.declared.service, count));
+            let count = window::batch_window(load, config.batch_weight(row.config.service), now);
+            windows.push((row.id, row.config.service, count));
         }
         let mut link = lock(&self.batch_link);
         if link.windows != windows {
@@ -53,13 +53,13 @@
 
     /// Sends which VMs and owners share the batch work, if that has changed.
     pub fn push_batch_peers(&self, state: &NodeState) {
-        let status = &state.fleet.card;
+        let status = &state.fleet.status;
         let mut workers: BTreeMap<ServiceId, ServiceWorkers> = BTreeMap::new();
         for row in &state.online.endpoints.rows {
-            let service = row.declared.service;
+            let service = row.config.service;
             let of_service = workers.entry(service).or_default();
             of_service.service = service;
-            of_service.domains.push(row.declared.domain);
+            of_service.domains.push(row.config.domain);
             of_service.vms.extend(state.fleet.assigned_vm(row.id));
         }
         for of_service in workers.values_mut() {
@@ -69,16 +69,16 @@
             }
         }
         let peers = BatchPeers {
-            own: status.vm,
-            own_domain: status.domain,
+            local_vm: status.vm,
+            local_domain: status.domain,
             vms: state.fleet.batch_vms().to_vec(),
             owners: state.fleet.batch_owners(),
-            hands: workers.into_values().collect(),
+            workers: workers.into_values().collect(),
         };
         let mut link = lock(&self.batch_link);
         if link.peers != peers {
             link.peers = peers.clone();
-            link.send(ToBatch::Crew(peers));
+            link.send(ToBatch::Peers(peers));
         }
     }
 
@@ -97,7 +97,7 @@
         }
         link.send(ToBatch::Jobs(state.jobs.active()));
         let (peers, windows) = (link.peers.clone(), link.windows.clone());
-        link.send(ToBatch::Crew(peers));
+        link.send(ToBatch::Peers(peers));
         link.send(ToBatch::Windows(windows));
     }
 }
--- a/src/entry/plan.rs
+++ b/src/entry/config_index.rs
@@ -14,16 +14,16 @@
 
 /// The configuration in force, indexed for lookups.
 #[derive(Debug)]
-pub struct Plan {
+pub struct ConfigIndex {
     pub versioned: Arc<Versioned>,
     keys: KeyTable,
     addresses: HashMap<EndpointId, Name>,
     batch_weights: HashMap<ServiceId, BatchWeight>,
 }
 
-impl Plan {
+impl ConfigIndex {
     /// Indexes a configuration.
-    pub fn new(versioned: Arc<Versioned>) -> Plan {
+    pub fn new(versioned: Arc<Versioned>) -> ConfigIndex {
         let state = &versioned.state;
         let keys = state
             .workspaces
@@ -36,7 +36,7 @@
             });
         let endpoints = state.endpoints.iter();
         let services = state.services.iter();
-        Plan {
+        ConfigIndex {
             keys: KeyTable::new(keys),
             addresses: endpoints
                 .map(|e| (id::of(&e.name), e.address.clone()))
@@ -125,7 +125,7 @@
             first_token_goal: ms(service.first_token_ms),
             queue_limit: service.queue_limit as usize,
             max_in_flight: service.max_in_flight as usize,
-            learn: service.kind == ServiceKind::Model,
+            learn_limit: service.kind == ServiceKind::Model,
             shares: shares
                 .map(|s| (id::of(&s.workspace), s.online_share))
                 .collect(),
--- a/src/entry/counters.rs
+++ b/src/entry/counters.rs
@@ -32,7 +32,7 @@
             refusals: counters("bramley_refusals_total", "Refusals by reason.", &["reason"]),
             attempts: registry.counter("bramley_attempts_total", "Attempts at endpoints."),
             tokens: registry.counter("bramley_stream_events_total", "Events sent to callers."),
-            first_token: registry.times(
+            first_token: registry.time_histogram(
                 "bramley_first_token_seconds",
                 "Time to the first token of streams.",
             ),
--- a/src/entry/files.rs
+++ b/src/entry/files.rs
@@ -17,8 +17,8 @@
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
 use crate::id;
-use crate::platform::Settled;
-use crate::segments::{self, INLINE_BYTES};
+use crate::platform::CommitOutcome;
+use crate::segments::{self, INLINE_BYTES_MAX};
 use std::time::Duration;
 
 /// Lines allowed in one file; well above the largest expected job.
@@ -46,7 +46,7 @@
 
 /// The refusal for a call that fails because the platform is unavailable.
 pub fn platform_unavailable(detail: &str) -> Problem {
-    Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_AFTER)
+    Problem::not_run(RefusalKind::PlatformAway, detail).with_retry_after(RETRY_AFTER)
 }
 
 fn upload(
@@ -195,7 +195,7 @@
     }
     let scope = format!("{}\n{}", caller.workspace, id::digest(content));
     let file_id = format!("file-{}", &id::digest(scope.as_bytes())[..32]);
-    let inline = content.len() <= INLINE_BYTES;
+    let inline = content.len() <= INLINE_BYTES_MAX;
     let segments: Result<Vec<Segment>, segments::Error> = pieces
         .iter()
         .map(|(piece, lines)| node.segments.store(piece, *lines, inline))
@@ -218,12 +218,16 @@
     let text = serde_json::to_string(&record).unwrap_or_default();
     let until = clock::now() + COMMIT_TIMEOUT;
     match node.platform.commit(&file_key(&record.id), 0, &text, until) {
-        Settled::Won(_) => Ok(record),
+        CommitOutcome::Won(_) => Ok(record),
         // The same content was uploaded before; its first record stays.
-        Settled::Lost(Some(entry)) => Ok(serde_json::from_str(&entry.value).unwrap_or(record)),
-        Settled::Lost(None) | Settled::Away => Err(platform_unavailable("the file was not taken")),
+        CommitOutcome::Lost(Some(entry)) => {
+            Ok(serde_json::from_str(&entry.value).unwrap_or(record))
+        }
+        CommitOutcome::Lost(None) | CommitOutcome::Away => {
+            Err(platform_unavailable("the file was not taken"))
+        }
         // Uploading it again is harmless: the id is derived from the content.
-        Settled::Unknown => Err(Problem {
+        CommitOutcome::Unknown => Err(Problem {
             not_run: false,
             ..platform_unavailable("it is not known whether it was taken")
         }),
--- a/src/entry/gossip.rs
+++ b/src/entry/gossip.rs
@@ -15,7 +15,7 @@
 use crate::clock;
 use crate::peer;
 use crate::util::lock;
-use crate::wire::{Datagram, PeerAsk, PeerReply, DATAGRAM_BYTES};
+use crate::wire::{Datagram, PeerReply, PeerRequest, DATAGRAM_BYTES_MAX};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 const TASK_THREADS: usize = 6;
@@ -50,7 +50,7 @@
 
 fn receive(node: &Node) {
     let Some(socket) = node.gossip() else { return };
-    let mut buffer = [0; DATAGRAM_BYTES + 1];
+    let mut buffer = [0; DATAGRAM_BYTES_MAX + 1];
     loop {
         let Ok((length, _)) = socket.recv_from(&mut buffer) else {
             clock::sleep(RECEIVE_RETRY_INTERVAL);
@@ -93,7 +93,7 @@
         };
         match task {
             BackgroundTask::FetchConfig { from } => {
-                let request = PeerAsk::Config {
+                let request = PeerRequest::Config {
                     have: node.config_version(),
                 };
                 let reply = peer::call(from, &node.key, &request, PEER_TIMEOUT);
@@ -103,7 +103,7 @@
             }
             BackgroundTask::FetchJobs { from } => {
                 let after = lock(&node.state).jobs.revision;
-                let reply = peer::call(from, &node.key, &PeerAsk::Jobs { after }, PEER_TIMEOUT);
+                let reply = peer::call(from, &node.key, &PeerRequest::Jobs { after }, PEER_TIMEOUT);
                 if let Ok(PeerReply::Jobs { revision, records }) = reply {
                     watch::apply_job_records(node, after, revision, records);
                 }
@@ -133,15 +133,15 @@
     peer::serve(listener, key, move |request| answer(&node, request))
 }
 
-fn answer(node: &Node, request: PeerAsk) -> PeerReply {
+fn answer(node: &Node, request: PeerRequest) -> PeerReply {
     match request {
-        PeerAsk::Config { have } => {
+        PeerRequest::Config { have } => {
             let config = node
                 .config()
                 .filter(|config| config.versioned.head.version > have);
             PeerReply::Config(config.map(|config| Box::new((*config.versioned).clone())))
         }
-        PeerAsk::Jobs { after } => {
+        PeerRequest::Jobs { after } => {
             let state = lock(&node.state);
             let rows = state
                 .jobs
@@ -153,8 +153,10 @@
                 records: rows.cloned().collect(),
             }
         }
-        PeerAsk::Intent { key, ask } => PeerReply::Intent(intent::ask_local(node, key, ask)),
-        PeerAsk::Put { .. } | PeerAsk::Get { .. } | PeerAsk::Has { .. } => {
+        PeerRequest::Intent { key, request: ask } => {
+            PeerReply::Intent(intent::ask_local(node, key, ask))
+        }
+        PeerRequest::Put { .. } | PeerRequest::Get { .. } | PeerRequest::Has { .. } => {
             PeerReply::Refused("this process stores no content".into())
         }
     }
--- a/src/entry/intent.rs
+++ b/src/entry/intent.rs
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 use super::node::Node;
-use super::question::RangeRequest;
+use super::range_request::RangeRequest;
 use crate::clock;
 use crate::decide::intents::{
-    page_key, range_of, range_prefix, Action, IntentKey, IntentPage, IntentRequest, IntentVerdict,
-    Range, WaiterId, RANGES,
+    page_key, range_of, range_prefix, Action, IntentKey, IntentPage, IntentRange, IntentRequest,
+    IntentVerdict, WaiterId, RANGES,
 };
 use crate::id::VmId;
 use crate::peer;
 use crate::platform::Entry;
 use crate::util::{self, lock};
-use crate::wire::{PeerAsk, PeerReply};
+use crate::wire::{PeerReply, PeerRequest};
 
 const TICK_INTERVAL: Duration = Duration::from_millis(10);
 const DECISION_TIMEOUT: Duration = Duration::from_secs(4);
@@ -45,9 +45,9 @@
 pub fn ask(node: &Node, key: IntentKey, request: IntentRequest) -> IntentVerdict {
     let owner = owner(node, range_of(&key));
     if let Some(address) = owner {
-        let peer_ask = PeerAsk::Intent {
+        let peer_ask = PeerRequest::Intent {
             key: key.clone(),
-            ask: request.clone(),
+            request: request.clone(),
         };
         let reply = peer::call(address, &node.key, &peer_ask, PEER_TIMEOUT);
         if let Ok(PeerReply::Intent(verdict)) = reply {
@@ -61,19 +61,19 @@
 
 fn owner(node: &Node, range: u64) -> Option<std::net::SocketAddr> {
     let state = lock(&node.state);
-    let status = &state.fleet.card;
+    let status = &state.fleet.status;
     let ranked: Vec<VmId> =
         state
             .fleet
             .members
-            .ranked_for(clock::now(), status, status.domain, range);
+            .ranked_vms(clock::now(), status, status.domain, range);
     let first = ranked.first()?;
     state
         .fleet
         .members
-        .rows
+        .members
         .get(first)
-        .map(|row| row.card.peer_address)
+        .map(|row| row.status.peer_address)
 }
 
 /// Decides a request on the local thread of its range.
@@ -101,13 +101,13 @@
 struct RangeRunner<'a> {
     node: &'a Node,
     number: u64,
-    range: Range,
+    range: IntentRange,
     waiters: HashMap<WaiterId, Sender<IntentVerdict>>,
     next_waiter: WaiterId,
 }
 
 fn run(node: &Node, number: u64, events: &Receiver<RangeRequest>) {
-    let range = Range::new(util::nonce());
+    let range = IntentRange::new(util::nonce());
     let mut runner = RangeRunner {
         node,
         number,
@@ -135,7 +135,7 @@
     fn submit(&mut self, incoming: RangeRequest, out: &mut Vec<Action>) {
         self.next_waiter += 1;
         self.waiters.insert(self.next_waiter, incoming.reply);
-        self.range.ask(
+        self.range.submit(
             clock::now(),
             self.next_waiter,
             incoming.key,
@@ -148,7 +148,10 @@
         while let Some(action) = actions.pop() {
             let mut out = Vec::new();
             match action {
-                Action::Tell { ticket, verdict } => {
+                Action::Reply {
+                    waiter: ticket,
+                    verdict,
+                } => {
                     if let Some(waiter) = self.waiters.remove(&ticket) {
                         let _ = waiter.send(verdict);
                     }
--- a/src/entry/jobs.rs
+++ b/src/entry/jobs.rs
@@ -16,7 +16,7 @@
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
 use crate::id;
-use crate::platform::Settled;
+use crate::platform::CommitOutcome;
 use crate::util::{self, lock};
 
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
@@ -128,12 +128,12 @@
         clock::now() + COMMIT_TIMEOUT,
     );
     match settled {
-        Settled::Won(revision) => {
+        CommitOutcome::Won(revision) => {
             info!(job = &*record.id, workspace = &*record.workspace; "job accepted");
             push_job(node, revision, &record);
             Ok((job_json(&record), false))
         }
-        Settled::Lost(Some(entry)) => {
+        CommitOutcome::Lost(Some(entry)) => {
             let first: JobRecord = serde_json::from_str(&entry.value).map_err(|error| {
                 platform_unavailable(&format!("the first job's record: {error}"))
             })?;
@@ -143,10 +143,10 @@
             }
             Ok((job_json(&first), true))
         }
-        Settled::Lost(None) | Settled::Away => {
+        CommitOutcome::Lost(None) | CommitOutcome::Away => {
             Err(platform_unavailable("the job was not accepted"))
         }
-        Settled::Unknown => {
+        CommitOutcome::Unknown => {
             let detail = "it is not known whether the job was accepted; send it again";
             Err(Problem {
                 not_run: false,
@@ -229,15 +229,15 @@
         };
         let text = serde_json::to_string(&cancelled).unwrap_or_default();
         match node.platform.commit(&job_key(job), revision, &text, until) {
-            Settled::Won(revision) => {
+            CommitOutcome::Won(revision) => {
                 info!(job = job, workspace = &*caller.workspace; "job cancelled");
                 push_job(node, revision, &cancelled);
                 return Ok((job_json(&cancelled), false));
             }
             // The job ended or was cancelled in the meantime: read it again.
-            Settled::Lost(_) => {}
-            Settled::Away => return Err(platform_unavailable("the job was not cancelled")),
-            Settled::Unknown => {
+            CommitOutcome::Lost(_) => {}
+            CommitOutcome::Away => return Err(platform_unavailable("the job was not cancelled")),
+            CommitOutcome::Unknown => {
                 let detail = "it is not known whether the job was cancelled; ask again";
                 return Err(Problem {
                     not_run: false,
--- a/src/entry/node.rs
+++ b/src/entry/node.rs
@@ -10,11 +10,11 @@
 
 use log::{info, warn};
 
+use super::batch_link::BatchLink;
+use super::config_index::ConfigIndex;
 use super::counters::Counters;
-use super::links::BatchLink;
-use super::plan::Plan;
-use super::question::RangeRequest;
-use super::table::JobTable;
+use super::job_table::JobTable;
+use super::range_request::RangeRequest;
 use crate::clock;
 use crate::config::Versioned;
 use crate::decide::fleet::{self, Fleet};
@@ -26,12 +26,12 @@
 use crate::segments::Segments;
 use crate::settings::{ms, Entry};
 use crate::util::{self, lock};
-use crate::wire::{Datagram, Key, ToBatch, DATAGRAM_BYTES};
+use crate::wire::{Datagram, Key, ToBatch, DATAGRAM_BYTES_MAX};
 
 /// The workspace of a caller, and the configuration under which its request is handled.
 #[derive(Clone)]
 pub struct CallerContext {
-    pub config: Arc<Plan>,
+    pub config: Arc<ConfigIndex>,
     pub workspace: Name,
 }
 
@@ -39,7 +39,7 @@
 pub struct NodeState {
     pub online: Online,
     pub fleet: Fleet,
-    pub config: Option<Arc<Plan>>,
+    pub config: Option<Arc<ConfigIndex>>,
     pub jobs: JobTable,
     /// When an online request was last in flight at each endpoint.
     pub online_at: HashMap<EndpointId, Duration>,
@@ -152,7 +152,7 @@
     }
 
     /// The configuration in force.
-    pub fn config(&self) -> Option<Arc<Plan>> {
+    pub fn config(&self) -> Option<Arc<ConfigIndex>> {
         lock(&self.state).config.clone()
     }
 
@@ -185,7 +185,7 @@
     pub fn start_draining(&self) {
         self.draining.store(true, Ordering::SeqCst);
         let mut state = lock(&self.state);
-        state.fleet.card.leaving = true;
+        state.fleet.status.leaving = true;
         state.fleet.send_now();
         lock(&self.batch_link).send(ToBatch::Leave);
         drop(state);
@@ -244,21 +244,21 @@
             .online
             .endpoints
             .get(endpoint)
-            .map(|row| row.declared.domain);
-        if domain != Some(state.fleet.card.domain) {
+            .map(|row| row.config.domain);
+        if domain != Some(state.fleet.status.domain) {
             return;
         }
         match state.fleet.assigned_vm(endpoint) {
-            Some(assigned) if assigned == state.fleet.card.vm => self.push_windows(now, state),
+            Some(assigned) if assigned == state.fleet.status.vm => self.push_windows(now, state),
             // Only the first request is reported by a datagram; heartbeats report the rest while it
             // runs.
             Some(assigned) if online == 1 => {
                 let to = state
                     .fleet
                     .members
-                    .rows
+                    .members
                     .get(&assigned)
-                    .map(|row| row.card.gossip_address);
+                    .map(|row| row.status.gossip_address);
                 if let Some(to) = to {
                     self.send(to, &Datagram::Pressure { endpoint, online });
                 }
@@ -280,7 +280,7 @@
         let Ok(sealed) = self.key.seal(message) else {
             return;
         };
-        if sealed.len() > DATAGRAM_BYTES {
+        if sealed.len() > DATAGRAM_BYTES_MAX {
             warn!(bytes = sealed.len(); "datagram not sent: too large");
             return;
         }
@@ -301,8 +301,8 @@
         let mut actions = Vec::new();
         state.online.tick(now, &mut actions);
         self.dispatch(now, state, actions);
-        state.fleet.card.batch = lock(&self.batch_link).owner;
-        state.fleet.card.jobs = state.jobs.revision;
+        state.fleet.status.batch = lock(&self.batch_link).owner;
+        state.fleet.status.jobs = state.jobs.revision;
         let mut actions = Vec::new();
         state
             .fleet
@@ -333,7 +333,7 @@
                 }
                 fleet::Action::Poll { endpoint } => {
                     let row = state.online.endpoints.get(endpoint);
-                    if let Some(address) = row.map(|row| row.declared.address.clone()) {
+                    if let Some(address) = row.map(|row| row.config.address.clone()) {
                         let _ = self.tasks.send(BackgroundTask::Poll { endpoint, address });
                     }
                 }
@@ -347,7 +347,7 @@
 
     /// Version of the configuration in force; 0 for none.
     pub fn config_version(&self) -> ConfigVersion {
-        lock(&self.state).fleet.card.config
+        lock(&self.state).fleet.status.config
     }
 
     /// Puts a configuration in force if it is newer than the present one.
@@ -356,13 +356,13 @@
         let mut state = lock(&self.state);
         // Never replaced by an older one: a caller that saw a version in force here relies on it,
         // even if a peer or the platform answers late with an earlier version.
-        if version <= state.fleet.card.config {
+        if version <= state.fleet.status.config {
             return false;
         }
-        let config = Arc::new(Plan::new(Arc::new(versioned)));
+        let config = Arc::new(ConfigIndex::new(Arc::new(versioned)));
         state.online.endpoints.configure(config.endpoints());
         state.online.services = config.services();
-        state.fleet.card.config = version;
+        state.fleet.status.config = version;
         state.fleet.send_now();
         state.config = Some(config.clone());
         let message = ToBatch::Config(Box::new((*config.versioned).clone()));
--- a/src/entry/online.rs
+++ b/src/entry/online.rs
@@ -13,8 +13,8 @@
 use crate::clock;
 use crate::config::Service;
 use crate::decide::online::{Action, Arrival, AttemptOutcome, Event};
-use crate::decide::retry::{AttemptStage, TRIES_MAX};
-use crate::engine::{self, Answer, Call, Events, Fault, Started};
+use crate::decide::retry::{AttemptStage, ATTEMPTS_MAX_DEFAULT};
+use crate::engine::{self, Answer, AttemptError, Call, Events, StreamResponse};
 use crate::http::problem::{Problem, RefusalKind};
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
@@ -105,7 +105,7 @@
             deadline,
             idempotent,
             resumable: false,
-            attempts_max: TRIES_MAX,
+            attempts_max: ATTEMPTS_MAX_DEFAULT,
         }));
         OnlineRequest {
             node,
@@ -133,7 +133,8 @@
                     },
                     // The configuration changed after admission.
                     None => NextStep::Refuse(
-                        Problem::not_run(RefusalKind::NoEndpoint, "gone").after(RETRY_AFTER),
+                        Problem::not_run(RefusalKind::NoEndpoint, "gone")
+                            .with_retry_after(RETRY_AFTER),
                     ),
                 }
             }
@@ -174,13 +175,13 @@
     }
 
     /// Reports a failed attempt.
-    pub fn report_failure(&self, fault: &Fault) {
+    pub fn report_failure(&self, fault: &AttemptError) {
         info!(request = self.name.as_str(), workspace = &*self.caller.workspace;
             "try failed: {}", fault.detail);
         self.report_outcome(AttemptOutcome::Failed {
-            reach: fault.reach,
-            blame: fault.blame,
-            ended: false,
+            stage: fault.stage,
+            endpoint_fault: fault.blame,
+            endpoint_ended: false,
         });
     }
 
@@ -328,8 +329,8 @@
     out: &mut Responder,
 ) -> io::Result<bool> {
     let mut events = match online_request.node.engines.stream(call) {
-        Ok(Started::Stream(events)) => events,
-        Ok(Started::Whole(answer)) => {
+        Ok(StreamResponse::Stream(events)) => events,
+        Ok(StreamResponse::Whole(answer)) => {
             online_request.report_outcome(AttemptOutcome::Done);
             online_request.count_outcome("answered");
             send_answer(online_request, &answer, out)?;
@@ -357,23 +358,23 @@
             ForwardOutcome::Broken(fault) => fault,
         };
         resumes += 1;
-        if fault.died && resumes <= RESUMES_MAX {
+        if fault.connection_lost && resumes <= RESUMES_MAX {
             let left = online_request.time_left();
             let engines = &online_request.node.engines;
             match engines.resume(call.address, call.attempt, sent, left) {
-                Ok(Started::Stream(resumed)) => {
+                Ok(StreamResponse::Stream(resumed)) => {
                     events = resumed;
                     continue;
                 }
-                Ok(Started::Whole(_)) | Err(_) => {}
+                Ok(StreamResponse::Whole(_)) | Err(_) => {}
             }
         }
         if sent == 0 {
             online_request.report_failure(&fault);
             return Ok(false);
         }
-        online_request.report_failure(&Fault {
-            reach: AttemptStage::Answering,
+        online_request.report_failure(&AttemptError {
+            stage: AttemptStage::Answering,
             ..fault.clone()
         });
         online_request.count_outcome("broken");
@@ -383,7 +384,7 @@
 
 enum ForwardOutcome {
     Done,
-    Broken(Fault),
+    Broken(AttemptError),
     CallerGone(io::Error),
 }
 
@@ -445,7 +446,7 @@
 
 /// Ends an incomplete stream so that no caller takes it for complete: sends an error event, and
 /// neither the end marker nor the last chunk of the chunked body.
-fn end_incomplete_stream(fault: &Fault, out: &mut Responder) -> io::Result<()> {
+fn end_incomplete_stream(fault: &AttemptError, out: &mut Responder) -> io::Result<()> {
     let name: &'static str = RefusalKind::EndpointFailed.into();
     let error = json!({ "error": { "type": name, "message": fault.detail } });
     out.chunk(format!("event: error\ndata: {error}\n\n").as_bytes())
--- a/src/entry/operators.rs
+++ b/src/entry/operators.rs
@@ -36,7 +36,7 @@
 fn dump(node: &Node) -> Value {
     let now = clock::now();
     let state = lock(&node.state);
-    let status = &state.fleet.card;
+    let status = &state.fleet.status;
     json!({
         "vm": status,
         "ready": node.ready_with(&state),
@@ -55,12 +55,12 @@
 
 fn members(state: &NodeState) -> Vec<Value> {
     let now = clock::now();
-    let rows = state.fleet.members.rows.values();
+    let rows = state.fleet.members.members.values();
     rows.map(|row| {
         json!({
-            "card": row.card,
-            "alive": row.alive(now),
-            "heard_ms_ago": row.heard_at.map(|at| now.saturating_sub(at).as_millis() as u64),
+            "card": row.status,
+            "alive": row.is_alive(now),
+            "heard_ms_ago": row.last_heartbeat_at.map(|at| now.saturating_sub(at).as_millis() as u64),
             "listed": row.listed,
         })
     })
@@ -72,13 +72,13 @@
     let rows = state.online.endpoints.rows.iter();
     rows.map(|row| {
         json!({
-            "name": row.declared.name,
+            "name": row.config.name,
             "usable": row.usable(now),
             "leaving": row.leaving.is_some(),
             "limit": row.limit.slots(),
             "online_here": row.online_here,
             "online_elsewhere": row.online_elsewhere,
-            "home": state.fleet.assigned_vm(row.id) == Some(state.fleet.card.vm),
+            "home": state.fleet.assigned_vm(row.id) == Some(state.fleet.status.vm),
             "first_token_ms": row.first_token_ms,
             "ejected_ms": row.ejected_until.saturating_sub(now).as_millis() as u64,
             "report": row.report,
@@ -134,7 +134,7 @@
         .endpoints
         .rows
         .iter()
-        .filter(|row| state.fleet.assigned_vm(row.id) == Some(state.fleet.card.vm))
+        .filter(|row| state.fleet.assigned_vm(row.id) == Some(state.fleet.status.vm))
         .collect();
     if assigned.is_empty() {
         return "other VMs: this one is home of no endpoint".into();
--- a/src/entry/orders.rs
+++ b/src/entry/orders.rs
@@ -8,12 +8,12 @@
 use log::{info, warn};
 use serde::Serialize;
 
+use super::config_index::ConfigIndex;
 use super::node::{Node, NodeState};
-use super::plan::Plan;
 use crate::clock;
 use crate::config::ServiceKind;
-use crate::decide::commit::Answer;
-use crate::decide::orders::{Action, EndpointModels, FenceRecord, Orders, LEASE};
+use crate::decide::commit::WriteOutcome;
+use crate::decide::orders::{Action, EndpointModels, FenceRecord, Orders, LEASE_DURATION};
 use crate::id::{self, Epoch, Name};
 use crate::util::{self, lock};
 
@@ -45,7 +45,7 @@
         let (candidate, wanted) = {
             let state = lock(&node.state);
             (
-                state.fleet.is_first_delegate(now) && !state.fleet.card.leaving,
+                state.fleet.is_first_delegate(now) && !state.fleet.status.leaving,
                 wanted_models(&state),
             )
         };
@@ -63,11 +63,11 @@
         return Vec::new();
     };
     let is_local = |row: &&crate::decide::endpoints::Endpoint| {
-        row.declared.domain == state.fleet.card.domain && row.leaving.is_none()
+        row.config.domain == state.fleet.status.domain && row.leaving.is_none()
     };
     let rows = state.online.endpoints.rows.iter().filter(is_local);
     rows.filter_map(|row| {
-        let models = models_of(config, row.declared.service)?;
+        let models = models_of(config, row.config.service)?;
         let reported = row.report.as_ref().map(|report| report.models.clone());
         Some(EndpointModels {
             endpoint: row.id,
@@ -79,7 +79,7 @@
 }
 
 /// `model@version` of each model of a service, then its adapters; `None` for plain services.
-fn models_of(config: &Plan, service: u64) -> Option<Vec<Name>> {
+fn models_of(config: &ConfigIndex, service: u64) -> Option<Vec<Name>> {
     let state = config.state();
     let service = state
         .services
@@ -108,18 +108,18 @@
     );
     match action {
         Action::Lease => {
-            let lease = node.platform.lease(LEASE).ok().filter(|lease| {
+            let lease = node.platform.lease(LEASE_DURATION).ok().filter(|lease| {
                 let holder = node.settings.name.to_string();
                 let put = node
                     .platform
                     .put_leased(&lease_key, 0, &holder, Some(*lease));
-                matches!(put, Answer::Won(_))
+                matches!(put, WriteOutcome::Won(_))
             });
-            orders.leased(clock::now(), lease, out);
+            orders.lease_answered(clock::now(), lease, out);
         }
         Action::Renew { lease } => {
             let alive = node.platform.renew(lease).ok();
-            orders.renewed(clock::now(), alive);
+            orders.renewal_answered(clock::now(), alive);
         }
         Action::ReadFence => {
             let found = node.platform.get(&fence_key).ok().map(|entry| {
@@ -151,7 +151,7 @@
                     models: &models,
                 },
             ) {
-                Ok(STATUS_FENCE_OUTDATED) => orders.refused(clock::now()),
+                Ok(STATUS_FENCE_OUTDATED) => orders.order_refused(clock::now()),
                 Ok(_) => {}
                 Err(fault) => warn!("order to {address} failed: {}", fault.detail),
             }
--- a/src/entry/plain.rs
+++ b/src/entry/plain.rs
@@ -7,11 +7,11 @@
 use super::online::{NextStep, OnlineRequest};
 use crate::config::{Service, ServiceKind};
 use crate::decide::intents::{
-    IntentRecord, IntentRequest, IntentVerdict, RecordedAnswer, ANSWER_BYTES,
+    IntentRecord, IntentRequest, IntentVerdict, RecordedAnswer, ANSWER_BYTES_MAX,
 };
 use crate::decide::online::AttemptOutcome;
 use crate::decide::retry::AttemptStage;
-use crate::engine::{Answer, Call, Fault};
+use crate::engine::{Answer, AttemptError, Call};
 use crate::http::problem::{Problem, RefusalKind};
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
@@ -90,8 +90,8 @@
             IntentVerdict::Replay(recorded) => return replay_answer(&recorded, out),
             IntentVerdict::Begun => {
                 let detail = "a request with this key was begun; its outcome is not recorded";
-                let problem =
-                    Problem::maybe_run(RefusalKind::OutcomeUnknown, detail).after(RETRY_AFTER);
+                let problem = Problem::maybe_run(RefusalKind::OutcomeUnknown, detail)
+                    .with_retry_after(RETRY_AFTER);
                 return self.refuse(&problem, out);
             }
             IntentVerdict::Mismatch => {
@@ -100,8 +100,8 @@
             }
             IntentVerdict::Away => {
                 let detail = "it can't be recorded that this request was begun";
-                let problem =
-                    Problem::not_run(RefusalKind::PlatformAway, detail).after(RETRY_AFTER);
+                let problem = Problem::not_run(RefusalKind::PlatformAway, detail)
+                    .with_retry_after(RETRY_AFTER);
                 return self.refuse(&problem, out);
             }
         }
@@ -174,10 +174,10 @@
 
     /// A plain service that answers 503 may have done part of the work. Unlike an engine's refusal,
     /// it does not show that a call which must not be repeated has not run.
-    fn classify_fault(&self, fault: Fault) -> Fault {
-        match fault.reach {
-            AttemptStage::Refused if !self.service.idempotent => Fault {
-                reach: AttemptStage::MaybeSent,
+    fn classify_fault(&self, fault: AttemptError) -> AttemptError {
+        match fault.stage {
+            AttemptStage::Refused if !self.service.idempotent => AttemptError {
+                stage: AttemptStage::MaybeSent,
                 ..fault
             },
             _ => fault,
@@ -217,7 +217,7 @@
 fn recorded_answer(answer: &Answer) -> RecordedAnswer {
     let text = std::str::from_utf8(&answer.body)
         .ok()
-        .filter(|text| text.len() <= ANSWER_BYTES);
+        .filter(|text| text.len() <= ANSWER_BYTES_MAX);
     RecordedAnswer {
         status: answer.status,
         content_type: answer.content_type.clone(),
--- a/src/entry/watch.rs
+++ b/src/entry/watch.rs
@@ -53,7 +53,7 @@
     let seeds = node.settings.peers.iter();
     let statuses: Vec<VmStatus> = seeds.map(|address| seed_status(node, *address)).collect();
     let mut state = lock(&node.state);
-    let local = state.fleet.card.clone();
+    let local = state.fleet.status.clone();
     state.fleet.members.apply_vm_list(&local, statuses);
 }
 
@@ -168,7 +168,7 @@
     // `revision` advances only without a gap: changes inside a gap would never be read.
     if after <= state.jobs.revision && revision > state.jobs.revision {
         state.jobs.revision = revision;
-        state.fleet.card.jobs = revision;
+        state.fleet.status.jobs = revision;
         state.fleet.send_now();
         node.push_jobs(&state);
     }
@@ -183,7 +183,7 @@
                 first = false;
                 let statuses: Vec<VmStatus> = vms.iter().filter_map(listed_status).collect();
                 let mut state = lock(&node.state);
-                let local = state.fleet.card.clone();
+                let local = state.fleet.status.clone();
                 state.fleet.members.apply_vm_list(&local, statuses);
             }
         }
--- a/src/http/problem.rs
+++ b/src/http/problem.rs
@@ -52,7 +52,7 @@
     }
 
     /// Sets the time after which the caller may retry.
-    pub fn after(mut self, retry_after: Duration) -> Problem {
+    pub fn with_retry_after(mut self, retry_after: Duration) -> Problem {
         self.retry_after = Some(retry_after);
         self
     }
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -162,7 +162,7 @@
 /// Refuses a connection over the limit at once, without a thread for it.
 fn refuse(mut stream: TcpStream) {
     let problem = Problem::not_run(RefusalKind::ServiceFull, "too many connections")
-        .after(REFUSAL_RETRY_AFTER);
+        .with_retry_after(REFUSAL_RETRY_AFTER);
     let _ = stream.set_nonblocking(true);
     let _ = stream.write_all(&full_response(
         &problem_head(&problem),
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -47,7 +47,7 @@
     }
 
     /// A histogram of times in seconds.
-    pub fn times(&self, name: &str, help: &str) -> Histogram {
+    pub fn time_histogram(&self, name: &str, help: &str) -> Histogram {
         let buckets = vec![
             0.005, 0.02, 0.05, 0.1, 0.2, 0.4, 0.58, 0.8, 1.5, 3.0, 10.0, 30.0,
         ];
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -1,8 +1,8 @@
 //! A simulated fleet: engines, VMs that decide, and heartbeats between the VMs with delay and loss.
 
 mod batch;
+mod heartbeats;
 mod online;
-mod talk;
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use serde::Serialize;
 
-use self::talk::Heartbeat;
+use self::heartbeats::Heartbeat;
 use super::engine::{Engine, EngineRequest, EngineSpec, PromptPart, RunEvent, RunId, TimedEvent};
 use super::load::{Arrival, ArrivalKind, Load, CALLERS};
 use super::outcome::Outcome;
@@ -321,7 +321,8 @@
 }
 
 fn update_uses(vm: &mut Vm, now: Duration) {
-    vm.items.note_uses(now, &mut vm.online.endpoints, &vm.usage);
+    vm.items
+        .update_usage(now, &mut vm.online.endpoints, &vm.usage);
 }
 
 fn service(load: &Load) -> ServiceConfig {
@@ -329,7 +330,7 @@
         first_token_goal: load.goal,
         queue_limit: 256,
         max_in_flight: 2000,
-        learn: false,
+        learn_limit: false,
         shares: HashMap::from([(WORKSPACE, 1.0)]),
     }
 }
--- a/src/model/fleet/batch.rs
+++ b/src/model/fleet/batch.rs
@@ -24,8 +24,8 @@
         let planner = ItemPlanner {
             vm: vm.id,
             domain: vm.domain,
-            rivals: &competing_vms,
-            starting: true,
+            competing_vms: &competing_vms,
+            may_start: true,
         };
         let actions = vm
             .items
--- a/src/model/fleet/talk.rs
+++ b/src/model/fleet/heartbeats.rs
@@ -53,7 +53,9 @@
                 vm.usage
                     .apply_report(now, heartbeat.from, heartbeat.uses.iter().cloned());
             let endpoints = &mut vm.online.endpoints;
-            vm.plan_now |= vm.items.note_uses_at(now, endpoints, &vm.usage, &touched);
+            vm.plan_now |= vm
+                .items
+                .update_usage_at(now, endpoints, &vm.usage, &touched);
             match heartbeat.waiting {
                 0 => vm.waiting.remove(&heartbeat.from),
                 items => vm.waiting.insert(heartbeat.from, (heartbeat.domain, items)),
@@ -63,7 +65,7 @@
 }
 
 fn heartbeat(vm: &Vm, now: Duration) -> Heartbeat {
-    let placed = vm.items.placed(now);
+    let placed = vm.items.by_endpoint(now);
     let rows = vm.online.endpoints.rows.iter().map(|row| {
         let here = placed.get(&row.id).copied().unwrap_or_default();
         let uses = EndpointUse {
@@ -79,6 +81,6 @@
         uses: rows
             .filter(|(_, uses)| *uses != EndpointUse::default())
             .collect(),
-        waiting: vm.items.waiting() as u32,
+        waiting: vm.items.waiting_count() as u32,
     }
 }
--- a/src/model/fleet/online.rs
+++ b/src/model/fleet/online.rs
@@ -70,9 +70,9 @@
             return;
         }
         let outcome = Ended::Failed {
-            reach: AttemptStage::Refused,
-            blame: false,
-            ended: false,
+            stage: AttemptStage::Refused,
+            endpoint_fault: false,
+            endpoint_ended: false,
         };
         self.handle(vm, Event::Ended { request, outcome });
     }
@@ -81,8 +81,8 @@
     pub(super) fn check_pressure(&mut self, vm: usize, endpoint: EndpointId) {
         let now = self.now;
         let vm = &mut self.vms[vm];
-        let here = vm.items.at(endpoint);
-        let elsewhere = vm.usage.of(endpoint).batch;
+        let here = vm.items.running_at(endpoint);
+        let elsewhere = vm.usage.total(endpoint).batch;
         let Some(row) = vm.online.endpoints.get_mut(endpoint) else {
             return;
         };
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use crate::clock;
-use crate::wire::{self, read_frame, write_frame, Key, PeerAsk, PeerReply};
+use crate::wire::{self, read_frame, write_frame, Key, PeerReply, PeerRequest};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
@@ -19,7 +19,7 @@
 pub fn call(
     address: SocketAddr,
     key: &Key,
-    request: &PeerAsk,
+    request: &PeerRequest,
     timeout: Duration,
 ) -> Result<PeerReply, wire::Error> {
     let connect = || -> io::Result<TcpStream> {
@@ -38,7 +38,7 @@
 pub fn serve(
     listener: TcpListener,
     key: Key,
-    handler: impl Fn(PeerAsk) -> PeerReply + Send + Sync + 'static,
+    handler: impl Fn(PeerRequest) -> PeerReply + Send + Sync + 'static,
 ) -> io::Result<()> {
     let handler = Arc::new(handler);
     let connections = Arc::new(AtomicUsize::new(0));
@@ -68,7 +68,7 @@
 fn answer(
     mut stream: TcpStream,
     key: &Key,
-    handler: &impl Fn(PeerAsk) -> PeerReply,
+    handler: &impl Fn(PeerRequest) -> PeerReply,
 ) -> Result<(), wire::Error> {
     let io_error = |source| wire::Error::Io { source };
     stream.set_nodelay(true).map_err(io_error)?;
@@ -79,7 +79,7 @@
         .set_write_timeout(Some(IDLE_TIMEOUT))
         .map_err(io_error)?;
     loop {
-        let request: PeerAsk = read_frame(&mut stream, key)?;
+        let request: PeerRequest = read_frame(&mut stream, key)?;
         write_frame(&mut stream, key, &handler(request))?;
     }
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -7,12 +7,12 @@
 use snafu::Snafu;
 
 use crate::clock;
-use crate::decide::commit::{Answer, Commit, Step};
+use crate::decide::commit::{Commit, Step, WriteOutcome};
 use crate::id::{Name, Revision};
 use crate::util::escape;
 
 /// Largest value that the service stores.
-pub const VALUE_BYTES: usize = 1024 * 1024;
+pub const VALUE_BYTES_MAX: usize = 1024 * 1024;
 const REPLY_BYTES_MAX: u64 = 64 * 1024 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const COMMIT_RETRY_PAUSE: Duration = Duration::from_millis(50);
@@ -71,7 +71,7 @@
 
 /// Outcome of a write; a lost answer has been resolved by reading the key back.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Settled {
+pub enum CommitOutcome {
     Won(Revision),
     /// Another writer's value is stored.
     Lost(Option<Entry>),
@@ -139,7 +139,7 @@
     }
 
     /// Writes a key if its revision is `expect`; 0 means that the key must not exist.
-    pub fn put(&self, key: &str, expect: Revision, value: &str) -> Answer {
+    pub fn put(&self, key: &str, expect: Revision, value: &str) -> WriteOutcome {
         self.put_leased(key, expect, value, None)
     }
 
@@ -150,22 +150,22 @@
         expect: Revision,
         value: &str,
         lease: Option<u64>,
-    ) -> Answer {
+    ) -> WriteOutcome {
         let mut url = format!("{}/kv/{}?expect={expect}", self.base, escape(key));
         if let Some(lease) = lease {
             url.push_str(&format!("&lease={lease}"));
         }
         match self.agent.put(&url).send_bytes(value.as_bytes()) {
             Ok(response) => match parse::<WriteReply>(response) {
-                Ok(written) => Answer::Won(written.revision),
-                Err(_) => Answer::Unknown,
+                Ok(written) => WriteOutcome::Won(written.revision),
+                Err(_) => WriteOutcome::Unknown,
             },
-            Err(ureq::Error::Status(409, _)) => Answer::Lost,
-            Err(ureq::Error::Status(429 | 503, _)) => Answer::Away,
+            Err(ureq::Error::Status(409, _)) => WriteOutcome::Lost,
+            Err(ureq::Error::Status(429 | 503, _)) => WriteOutcome::Away,
             Err(ureq::Error::Transport(t)) if t.kind() == ureq::ErrorKind::ConnectionFailed => {
-                Answer::Away
+                WriteOutcome::Away
             }
-            Err(_) => Answer::Unknown,
+            Err(_) => WriteOutcome::Unknown,
         }
     }
 
@@ -173,7 +173,13 @@
     /// `until` (monotonic time).
     ///
     /// `value` must contain a nonce, so that no two writers write the same bytes.
-    pub fn commit(&self, key: &str, expect: Revision, value: &str, until: Duration) -> Settled {
+    pub fn commit(
+        &self,
+        key: &str,
+        expect: Revision,
+        value: &str,
+        until: Duration,
+    ) -> CommitOutcome {
         let mut commit = Commit::new(expect);
         let mut found = None;
         loop {
@@ -190,11 +196,11 @@
                 ended => ended,
             };
             match step {
-                Step::Won(revision) => return Settled::Won(revision),
-                Step::Lost => return Settled::Lost(found),
-                Step::Away => return Settled::Away,
-                Step::Write | Step::Read if clock::now() >= until => return Settled::Unknown,
-                Step::Write | Step::Read => clock::sleep(commit.pause(COMMIT_RETRY_PAUSE)),
+                Step::Won(revision) => return CommitOutcome::Won(revision),
+                Step::Lost => return CommitOutcome::Lost(found),
+                Step::Away => return CommitOutcome::Away,
+                Step::Write | Step::Read if clock::now() >= until => return CommitOutcome::Unknown,
+                Step::Write | Step::Read => clock::sleep(commit.delay(COMMIT_RETRY_PAUSE)),
             }
         }
     }
--- a/src/segments.rs
+++ b/src/segments.rs
@@ -9,12 +9,12 @@
 use crate::decide::jobs::{part_key, segment_key, ContentLocation, Segment};
 use crate::id::{self, ranked, Name};
 use crate::peer;
-use crate::platform::{Platform, Settled, VALUE_BYTES};
+use crate::platform::{CommitOutcome, Platform, VALUE_BYTES_MAX};
 use crate::settings::BulkPeer;
-use crate::wire::{Key, PeerAsk, PeerReply};
+use crate::wire::{Key, PeerReply, PeerRequest};
 
 /// Largest content that is stored inline.
-pub const INLINE_BYTES: usize = VALUE_BYTES / 2;
+pub const INLINE_BYTES_MAX: usize = VALUE_BYTES_MAX / 2;
 /// Most parts of one piece of content: a chunk of a job has 4 MiB plus at most one line.
 const PARTS_MAX: usize = 16;
 const COMMIT_TIMEOUT: Duration = Duration::from_secs(3);
@@ -46,7 +46,7 @@
     /// Stores content; it is durable when this returns.
     pub fn store(&self, content: &Bytes, lines: u32, inline: bool) -> Result<Segment, Error> {
         let digest = id::digest(content);
-        let location = if inline && content.len() <= INLINE_BYTES {
+        let location = if inline && content.len() <= INLINE_BYTES_MAX {
             self.store_inline(&digest, content)?
         } else if self.bulk.is_empty() {
             self.store_parts(&digest, content)?
@@ -66,7 +66,7 @@
         let until = clock::now() + COMMIT_TIMEOUT;
         match self.platform.commit(&segment_key(digest), 0, &text, until) {
             // Equal digests mean equal content, whichever process wrote it.
-            Settled::Won(_) | Settled::Lost(Some(_)) => Ok(ContentLocation::Inline),
+            CommitOutcome::Won(_) | CommitOutcome::Lost(Some(_)) => Ok(ContentLocation::Inline),
             _ => PlatformSnafu.fail(),
         }
     }
@@ -79,7 +79,7 @@
             }
             .fail();
         };
-        let parts = split(text, INLINE_BYTES);
+        let parts = split(text, INLINE_BYTES_MAX);
         if parts.len() > PARTS_MAX {
             return TooLargeSnafu {
                 bytes: content.len(),
@@ -91,7 +91,7 @@
             let key = part_key(digest, number as u32);
             match self.platform.commit(&key, 0, part, until) {
                 // Equal digests mean equal content, split the same way, whichever process wrote it.
-                Settled::Won(_) | Settled::Lost(Some(_)) => {}
+                CommitOutcome::Won(_) | CommitOutcome::Lost(Some(_)) => {}
                 _ => return PlatformSnafu.fail(),
             }
         }
@@ -101,7 +101,7 @@
     fn store_bulk(&self, digest: &str, content: &Bytes) -> Result<ContentLocation, Error> {
         let mut domains: Vec<&Name> = Vec::new();
         let mut names = Vec::new();
-        let request = PeerAsk::Put {
+        let request = PeerRequest::Put {
             digest: digest.to_owned(),
             content: content.clone(),
         };
@@ -113,7 +113,7 @@
                 continue;
             }
             let reply = peer::call(peer.address, &self.key, &request, BULK_TIMEOUT);
-            if matches!(reply, Ok(PeerReply::Kept)) {
+            if matches!(reply, Ok(PeerReply::Stored)) {
                 domains.push(&peer.failure_domain);
                 names.push(peer.name.clone());
             }
@@ -150,7 +150,7 @@
         // those named in the record first.
         let mut peers = self.ranked(digest);
         peers.sort_by_key(|peer| !names.contains(&peer.name));
-        let request = PeerAsk::Get {
+        let request = PeerRequest::Get {
             digest: digest.clone(),
         };
         for peer in peers {
--- a/src/serve.rs
+++ b/src/serve.rs
@@ -3,27 +3,28 @@
 //! A deployment's adapter supplies the [`dialect::Dialect`] and the [`crate::store::Store`]; all
 //! else is the same in every deployment. Decisions are made in [`crate::decide`].
 
-pub mod admit;
 pub mod ask;
 pub mod body;
 pub mod callers;
+pub mod cancellation;
 pub mod counters;
 pub mod delegate;
 pub mod dialect;
 pub mod events;
 pub mod exchange;
-pub mod inside;
+pub mod internal_pages;
+pub mod job_admission;
 pub mod job_table;
 pub mod jobs;
 pub mod live_watch;
 pub mod node;
 pub mod online;
-pub mod parts;
+pub mod part_cache;
 pub mod peers;
 pub mod pool;
-mod proving;
 mod quarantine;
 mod quotas;
+mod refreshing;
 pub mod registration;
 pub mod relay;
 pub mod replies;
@@ -31,10 +32,9 @@
 pub mod retire;
 pub mod runs;
 pub mod stop;
-pub mod stopping;
 pub mod summary;
+pub mod waiting_page;
 pub mod watch;
-pub mod why;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -88,35 +88,35 @@
     let socket = Rc::new(UdpSocket::bind(settings.gossip_address).await?);
     node.core.borrow_mut().peers.seeds = seeds(settings);
     spawn_local(callers::serve(node.clone(), callers));
-    spawn_local(inside::serve(
+    spawn_local(internal_pages::serve(
         node.clone(),
         ready,
-        inside::PAGE_CONNECTION_LIFETIME_MAX,
-        inside::readiness,
+        internal_pages::PAGE_CONNECTION_LIFETIME_MAX,
+        internal_pages::readiness,
     ));
-    spawn_local(inside::serve(
+    spawn_local(internal_pages::serve(
         node.clone(),
         operators,
-        inside::PAGE_CONNECTION_LIFETIME_MAX,
-        inside::operator_pages,
+        internal_pages::PAGE_CONNECTION_LIFETIME_MAX,
+        internal_pages::operator_pages,
     ));
-    spawn_local(inside::serve(
+    spawn_local(internal_pages::serve(
         node.clone(),
         peers,
-        inside::PEER_LIFE,
-        inside::peer_pages,
+        internal_pages::PEER_CONNECTION_LIFETIME_MAX,
+        internal_pages::peer_pages,
     ));
-    spawn_local(peers::send(node.clone(), socket.clone()));
-    spawn_local(peers::receive(node.clone(), socket.clone()));
-    spawn_local(delegate::speak(node.clone(), socket.clone()));
-    spawn_local(quarantine::speak(node.clone(), socket));
+    spawn_local(peers::send_heartbeats(node.clone(), socket.clone()));
+    spawn_local(peers::receive_datagrams(node.clone(), socket.clone()));
+    spawn_local(delegate::send_summaries(node.clone(), socket.clone()));
+    spawn_local(quarantine::send_reports(node.clone(), socket));
     spawn_local(quarantine::keep_records(node.clone()));
-    spawn_local(quotas::records::keep(node.clone()));
-    spawn_local(peers::fetch(node.clone()));
-    spawn_local(watch::operators(node.clone()));
-    spawn_local(watch::endpoints(node.clone()));
+    spawn_local(quotas::records::keep_records(node.clone()));
+    spawn_local(peers::fetch_newer_versions(node.clone()));
+    spawn_local(watch::follow_operator_keys(node.clone()));
+    spawn_local(watch::follow_endpoints(node.clone()));
     spawn_local(live_watch::run(node.clone()));
-    spawn_local(live_watch::doubt(node.clone()));
+    spawn_local(live_watch::detect_silent_watch(node.clone()));
     spawn_local(registration::register(node.clone()));
     spawn_local(runs::run(node.clone()));
     spawn_local(summary::run(node.clone()));
--- a/src/serve/ask.rs
+++ b/src/serve/ask.rs
@@ -60,7 +60,7 @@
 /// The answer to a request of another VM.
 pub fn reply(sealed: Result<Vec<u8>, wire::Error>) -> Reply {
     match sealed {
-        Ok(sealed) => replies::bytes(sealed.into()),
+        Ok(sealed) => replies::binary(sealed.into()),
         Err(error) => {
             log::error!(error:% = error; "the answer to another VM can't be encoded");
             replies::empty(500)
--- a/src/serve/callers.rs
+++ b/src/serve/callers.rs
@@ -17,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-use super::dialect::Call;
+use super::dialect::Operation;
 use super::exchange::{self, Outgoing};
 use super::jobs;
 use super::node::Node;
@@ -114,8 +114,8 @@
         log::info!(path = head.uri.path(); "refused: no configuration is loaded yet");
         return replies::refusal(RefusalKind::NotReady, true, Some(STARTING_RETRY_AFTER));
     };
-    let operation = (node.dialect.call)(&head);
-    if operation == Call::Routed {
+    let operation = (node.dialect.operation)(&head);
+    if operation == Operation::Routed {
         return serve_routed(node, routes, head, body).await;
     }
     let public = has_public_jobs(&routes.rules);
@@ -124,13 +124,13 @@
         Err(kind) => return unidentified_reply(kind),
     };
     match operation {
-        Call::Results { job, after, wait } => {
+        Operation::Results { job, after, wait } => {
             results::results(node, &caller, job, after, wait).await
         }
-        Call::ItemBody { job, item } => jobs::item_body(node, &caller, job, item).await,
-        Call::Cancel { job } => jobs::cancel(node, &caller, job).await,
+        Operation::ItemBody { job, item } => jobs::item_body(node, &caller, job, item).await,
+        Operation::Cancel { job } => jobs::cancel(node, &caller, job).await,
         // Handled above.
-        Call::Routed => replies::empty(404),
+        Operation::Routed => replies::empty(404),
     }
 }
 
@@ -152,14 +152,14 @@
     let workspaces = routes.workspaces.as_ref();
     let caller = {
         let core = node.core.borrow();
-        access::identify_caller(now, workspaces, public, credential, &core.proofs)
+        access::identify_caller(now, workspaces, public, credential, &core.freshness)
     };
     caller.inspect_err(|kind| {
         let reason: &'static str = kind.into();
         let version = routes.rules.version;
         let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
         let path = head.uri.path();
-        node.counters.refused.with_label_values(&[reason]).inc();
+        node.counters.refusals.with_label_values(&[reason]).inc();
         log::info!(path, reason, version, proof_age_ms; "refused: the key identifies no workspace");
     })
 }
@@ -176,12 +176,12 @@
     head: hyper::http::request::Parts,
     body: Incoming,
 ) -> Reply {
-    let params = (node.dialect.ask)(&head);
+    let params = (node.dialect.request_params)(&head);
     let Some(route) = routes.find(&params.host, head.uri.path()) else {
         let version = routes.rules.version;
         let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
         let (host, path) = (params.host, head.uri.path());
-        let fresh = node.core.borrow().proofs.are_rules_fresh(clock::now());
+        let fresh = node.core.borrow().freshness.are_rules_fresh(clock::now());
         log::info!(host, path, version, proof_age_ms, sure = fresh; "refused: no such route");
         return match fresh {
             true => replies::refusal(RefusalKind::NotFound, true, None),
@@ -203,7 +203,7 @@
         .uri
         .path_and_query()
         .map_or("/", |target| target.as_str());
-    let mut headers = exchange::end_to_end(&head.headers);
+    let mut headers = exchange::end_to_end_headers(&head.headers);
     if routes.workspaces.is_some() {
         // Endpoints receive the workspace's name, never the key.
         headers.remove(AUTHORIZATION);
--- a/src/serve/counters.rs
+++ b/src/serve/counters.rs
@@ -10,7 +10,7 @@
     /// Replies to callers, by route kind and outcome.
     pub requests: IntCounterVec,
     /// Refusals by this system itself, by reason.
-    pub refused: IntCounterVec,
+    pub refusals: IntCounterVec,
     /// Attempts at endpoints, by outcome.
     pub attempts: IntCounterVec,
     /// New connections to endpoints.
@@ -18,13 +18,13 @@
     /// Transitions of endpoints, by transition and by the source that reported it.
     pub endpoint_transitions: IntCounterVec,
     /// Runs during which their endpoint ended.
-    pub ends: IntCounter,
+    pub runs_ended: IntCounter,
     /// Quarantine verdicts on requests whose endpoints ended, by verdict and source.
-    pub quarantine: IntCounterVec,
+    pub quarantine_verdicts: IntCounterVec,
     /// Requests in quarantine.
-    pub held: Gauge,
+    pub quarantined: Gauge,
     /// Runs and items that were not sent because their request is quarantined.
-    pub held_back: IntCounter,
+    pub quarantine_refusals: IntCounter,
     /// Endpoints that stay in use although their entries are gone from the store.
     pub endpoints_kept: Gauge,
     /// Time since the store last confirmed a subject, by subject.
@@ -38,9 +38,9 @@
     /// Milliseconds for which slots were free while items waited, by reason.
     pub idle_slot_ms: IntCounterVec,
     /// Seconds from a job's submission to its acceptance.
-    pub accepted: Histogram,
+    pub job_accepted_seconds: Histogram,
     /// Jobs that this VM took over, by how.
-    pub jobs: IntCounterVec,
+    pub jobs_taken: IntCounterVec,
     /// Seconds from a request's arrival to the first event for its caller.
     pub first_event_seconds: Histogram,
     /// Seconds from a request's arrival to the end of its reply.
@@ -57,7 +57,11 @@
                 "Answers to callers.",
                 &["kind", "outcome"],
             ),
-            refused: metrics.counters("bramley_refusals_total", "Refusals by reason.", &["reason"]),
+            refusals: metrics.counters(
+                "bramley_refusals_total",
+                "Refusals by reason.",
+                &["reason"],
+            ),
             attempts: metrics.counters(
                 "bramley_attempts_total",
                 "Tries at endpoints.",
@@ -72,20 +76,20 @@
                 "What became of endpoints, and on whose word.",
                 &["transition", "from"],
             ),
-            ends: metrics.counter(
+            runs_ended: metrics.counter(
                 "bramley_runs_ended_with_endpoint_total",
                 "Runs under which their endpoint ended.",
             ),
-            quarantine: metrics.counters(
+            quarantine_verdicts: metrics.counters(
                 "bramley_quarantine_total",
                 "What became of requests that endpoints ended under, and on whose word.",
                 &["verdict", "by"],
             ),
-            held: metrics.gauge(
+            quarantined: metrics.gauge(
                 "bramley_quarantine_held",
                 "Requests that are held back since they end their endpoints.",
             ),
-            held_back: metrics.counter(
+            quarantine_refusals: metrics.counter(
                 "bramley_quarantine_refusals_total",
                 "Runs that were not made of requests that are held back.",
             ),
@@ -117,20 +121,20 @@
                 "Free slots beside items that wait at this VM, times how long.",
                 &["reason"],
             ),
-            accepted: metrics.times(
+            job_accepted_seconds: metrics.time_histogram(
                 "bramley_job_accepted_seconds",
                 "From a job's submission to its acceptance.",
             ),
-            jobs: metrics.counters(
+            jobs_taken: metrics.counters(
                 "bramley_jobs_taken_total",
                 "Jobs that came into the hands of this VM.",
                 &["how"],
             ),
-            first_event_seconds: metrics.times(
+            first_event_seconds: metrics.time_histogram(
                 "bramley_first_event_seconds",
                 "From arrival to the first event for the caller.",
             ),
-            answer_seconds: metrics.times(
+            answer_seconds: metrics.time_histogram(
                 "bramley_answer_seconds",
                 "From arrival to the end of the answer.",
             ),
--- a/src/serve/delegate.rs
+++ b/src/serve/delegate.rs
@@ -20,14 +20,14 @@
 const PROMPT_SUMMARY_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Sends summaries while this VM is a delegate, until the process ends.
-pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
+pub async fn send_summaries(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let (mut sequence, mut rounds) = (0, 0);
     let mut round_due = Duration::ZERO;
     let mut counts_due = Duration::ZERO;
     loop {
         sleep(PROMPT_SUMMARY_INTERVAL).await;
         let left = round_due.saturating_sub(clock::now());
-        let is_prompt = timeout(left, node.tell_pressed.notified()).await.is_ok();
+        let is_prompt = timeout(left, node.excess_reported.notified()).await.is_ok();
         if !node.core.borrow().peers.is_delegate(node.vm) {
             sleep(SUMMARY_INTERVAL).await;
             continue;
@@ -80,7 +80,7 @@
     if !all_counts {
         counts
             .rows
-            .retain(|row| quotas::is_pressed(&core, now, row));
+            .retain(|row| quotas::needs_prompt_report(&core, now, row));
     }
     core.peers
         .summary_round(now, &own, address, &core.usage, counts, endpoints)
@@ -129,7 +129,7 @@
 
 /// Applies a delegate's summary.
 pub fn apply_summary(node: &Node, socket: &UdpSocket, summary: Summary, sealed: &[u8]) {
-    if summary.by == node.vm {
+    if summary.delegate == node.vm {
         return;
     }
     let now = clock::now();
@@ -142,7 +142,7 @@
         rules: summary.rules,
         endpoints: summary.endpoints,
     };
-    core.take_proofs(now, summary.proofs, theirs);
+    core.apply_confirmation_ages(now, summary.confirmation_ages, theirs);
     let is_local = summary.domain == node.domain;
     if is_local && core.peers.receives_domain_heartbeats(node.vm, node.domain) {
         // This VM has received the heartbeats of the VMs themselves.
@@ -162,13 +162,13 @@
         .apply_group_part(now, summary.domain, part, summary.rows);
     let mut yields = false;
     if is_local && summary.part == 0 {
-        yields = !summary.keeps.is_empty();
-        core.usage.set_item_allowance(now, summary.keeps);
+        yields = !summary.item_allowances.is_empty();
+        core.usage.set_item_allowance(now, summary.item_allowances);
     }
     let endpoints = &mut core.online.endpoints;
     yields |= core
         .items
-        .note_uses_at(now, endpoints, &core.usage, &touched);
+        .update_usage_at(now, endpoints, &core.usage, &touched);
     drop(guard);
     if forwards {
         forward(node, socket, sealed);
--- a/src/serve/dialect.rs
+++ b/src/serve/dialect.rs
@@ -13,12 +13,12 @@
 use crate::decide::access::Credential;
 use crate::decide::discovery::Registration;
 use crate::decide::routes::Rules;
-use crate::decide::small_jobs::{Item, Outcome};
+use crate::decide::small_jobs::{Item, ItemOutcome};
 use crate::id::{JobId, Name};
 
 /// The operation that a caller requests.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Call {
+pub enum Operation {
     /// A request or a job submission; the route of its host and path decides which.
     Routed,
     /// The results of a job, from a position on.
@@ -36,22 +36,22 @@
 
 /// One segment of a prompt; segments are in order from the start of the prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PromptPart {
+pub struct PromptSegment {
     pub id: u64,
     pub tokens: u32,
 }
 
 /// What the headers of a caller's request specify.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ask {
+pub struct RequestParams {
     /// The caller's id of this attempt; `None` when the request has none.
     pub id: Option<String>,
     pub host: String,
     /// How long the caller waits for the answer.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// The last event that the caller received of an interrupted answer.
     pub last_event: Option<u64>,
-    pub prompt: Vec<PromptPart>,
+    pub prompt: Vec<PromptSegment>,
 }
 
 /// What one attempt sends to the endpoint in addition to the caller's headers.
@@ -60,7 +60,7 @@
     /// The instance that the attempt is meant for; any other process at the address refuses it.
     pub instance: &'a str,
     /// Time until the deadline; `None` where there is none.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// Resume after this event.
     pub last_event: Option<u64>,
     /// The workspace of the caller; `None` for a caller without a key.
@@ -77,14 +77,14 @@
     /// The endpoint did not run the request and never will.
     pub not_run: bool,
     /// A different process has taken the address.
-    pub elsewhere: bool,
+    pub wrong_instance: bool,
 }
 
 /// One listed result in the form in which callers read it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ResultRow {
     pub item: Name,
-    pub outcome: Outcome,
+    pub outcome: ItemOutcome,
     pub text: String,
 }
 
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Keys {
     /// Prefix of all records that operators write.
-    pub operators: &'static str,
+    pub operator_prefix: &'static str,
     /// The configuration in force.
     pub rules: &'static str,
     /// Prefix of the endpoints' entries; each is stored under its instance id.
@@ -108,17 +108,17 @@
 pub struct Dialect {
     pub keys: Keys,
     /// Determines the operation of a caller's request from its method and path.
-    pub call: fn(&request::Parts) -> Call,
+    pub operation: fn(&request::Parts) -> Operation,
     /// Reads the headers of a caller's request.
-    pub ask: fn(&request::Parts) -> Ask,
+    pub request_params: fn(&request::Parts) -> RequestParams,
     /// Reads the caller's credential.
     pub credential: fn(&HeaderMap) -> Credential,
     /// Header with the attempt id, for batch items that this system sends itself.
-    pub id_header: &'static str,
+    pub attempt_id_header: &'static str,
     /// Adds the headers of one attempt.
-    pub attempt: fn(&mut HeaderMap, &Attempt<'_>),
+    pub attempt_headers: fn(&mut HeaderMap, &Attempt<'_>),
     /// Reads the head of an endpoint's answer.
-    pub answer: fn(StatusCode, &HeaderMap) -> AnswerHead,
+    pub answer_head: fn(StatusCode, &HeaderMap) -> AnswerHead,
     /// Parses a submitted job.
     pub submission: fn(&[u8]) -> Result<Vec<Item>, String>,
     /// Encodes a page of results: the number of items, the rows, the next position.
--- a/src/serve/events.rs
+++ b/src/serve/events.rs
@@ -64,12 +64,12 @@
     }
 
     /// Whether part of an event is buffered.
-    pub fn partial(&self) -> bool {
+    pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Whether the unfinished event exceeds the size limit.
-    pub fn overlong(&self) -> bool {
+    pub fn is_too_long(&self) -> bool {
         self.buffer.len() > EVENT_BYTES_MAX
     }
 
--- a/src/serve/exchange.rs
+++ b/src/serve/exchange.rs
@@ -83,7 +83,7 @@
 /// The head of an answer, and what is needed to read its body.
 pub struct Answer {
     pub head: response::Parts,
-    pub said: AnswerHead,
+    pub decoded: AnswerHead,
     pub body: Incoming,
     pub connection: Connection,
 }
@@ -91,11 +91,11 @@
 /// An attempt without an answer that can be passed on.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Failure {
-    pub reach: AttemptStage,
+    pub stage: AttemptStage,
     /// The endpoint is at fault.
-    pub blame: bool,
+    pub endpoint_at_fault: bool,
     /// The connection broke while the request was in flight.
-    pub lost: bool,
+    pub connection_lost: bool,
     /// The endpoint's host refused the connection, so the endpoint has ended.
     pub endpoint_ended: bool,
     pub detail: String,
@@ -103,35 +103,35 @@
 
 impl Failure {
     /// A failure that is the endpoint's fault.
-    pub fn blamed(reach: AttemptStage, detail: impl Into<String>) -> Failure {
+    pub fn of_endpoint(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
-            reach,
-            blame: true,
-            lost: false,
+            stage: reach,
+            endpoint_at_fault: true,
+            connection_lost: false,
             endpoint_ended: false,
             detail: detail.into(),
         }
     }
 
     /// The connection broke while the request was in flight.
-    pub fn lost(reach: AttemptStage, detail: impl Into<String>) -> Failure {
+    pub fn of_connection(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
-            lost: true,
-            ..Failure::blamed(reach, detail)
+            connection_lost: true,
+            ..Failure::of_endpoint(reach, detail)
         }
     }
 
     /// A failure that is not the endpoint's fault.
-    pub fn unblamed(reach: AttemptStage, detail: impl Into<String>) -> Failure {
+    pub fn not_of_endpoint(reach: AttemptStage, detail: impl Into<String>) -> Failure {
         Failure {
-            blame: false,
-            ..Failure::blamed(reach, detail)
+            endpoint_at_fault: false,
+            ..Failure::of_endpoint(reach, detail)
         }
     }
 }
 
 /// Copies the end-to-end headers, without hop-by-hop headers and those that `Connection` names.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -169,7 +169,7 @@
         Some(connection) => connection,
         None => open(node, target).await?,
     };
-    let unused = connection.fresh;
+    let unused = connection.unused;
     let request = build_request(node, target, out, time_left, last_event)?;
     let response = match connection.send(request).await {
         Ok(response) => response,
@@ -182,13 +182,13 @@
         }
         Err(error) => return Err(failure_of(error)),
     };
-    node.heard(target.endpoint);
+    node.note_endpoint_data(target.endpoint);
     let (head, body) = response.into_parts();
-    let decoded = (node.dialect.answer)(head.status, &head.headers);
+    let decoded = (node.dialect.answer_head)(head.status, &head.headers);
     check_answer(&out.id, unused, &decoded)?;
     Ok(Answer {
         head,
-        said: decoded,
+        decoded,
         body,
         connection,
     })
@@ -202,12 +202,12 @@
 fn failure_of(error: pool::Error) -> Failure {
     let detail = error.to_string();
     match error {
-        pool::Error::NotSent { .. } => Failure::blamed(AttemptStage::NotSent, detail),
-        pool::Error::TurnedAway { .. } => Failure {
+        pool::Error::NotSent { .. } => Failure::of_endpoint(AttemptStage::NotSent, detail),
+        pool::Error::Refused { .. } => Failure {
             endpoint_ended: true,
-            ..Failure::blamed(AttemptStage::NotSent, detail)
+            ..Failure::of_endpoint(AttemptStage::NotSent, detail)
         },
-        pool::Error::NoAnswer { .. } => Failure::lost(AttemptStage::MaybeSent, detail),
+        pool::Error::NoAnswer { .. } => Failure::of_connection(AttemptStage::MaybeSent, detail),
     }
 }
 
@@ -218,7 +218,7 @@
     time_left: Option<Duration>,
     last_event: Option<u64>,
 ) -> Result<Request<Full<Bytes>>, Failure> {
-    let unsendable = |detail: String| Failure::unblamed(AttemptStage::NotSent, detail);
+    let unsendable = |detail: String| Failure::not_of_endpoint(AttemptStage::NotSent, detail);
     let uri: Uri = out
         .target
         .parse()
@@ -229,11 +229,11 @@
     *request.headers_mut() = out.headers.clone();
     let attempt = Attempt {
         instance: &target.instance,
-        left: time_left,
+        time_left,
         last_event,
         workspace: out.workspace.as_deref(),
     };
-    (node.dialect.attempt)(request.headers_mut(), &attempt);
+    (node.dialect.attempt_headers)(request.headers_mut(), &attempt);
     Ok(request)
 }
 
@@ -246,10 +246,10 @@
     match &decoded.attempt {
         Some(echoed) if echoed != id => {
             let detail = format!("the answer belongs to attempt {echoed}");
-            return Err(Failure::blamed(AttemptStage::MaybeSent, detail));
+            return Err(Failure::of_endpoint(AttemptStage::MaybeSent, detail));
         }
         None if !unused => {
-            return Err(Failure::blamed(
+            return Err(Failure::of_endpoint(
                 AttemptStage::MaybeSent,
                 "the answer has no attempt id",
             ));
@@ -258,8 +258,8 @@
     }
     if decoded.not_run {
         return Err(Failure {
-            blame: decoded.elsewhere,
-            ..Failure::blamed(AttemptStage::Refused, "refused")
+            endpoint_at_fault: decoded.wrong_instance,
+            ..Failure::of_endpoint(AttemptStage::Refused, "refused")
         });
     }
     Ok(())
--- a/src/serve/inside.rs
+++ b/src/serve/internal_pages.rs
@@ -27,7 +27,7 @@
 use super::relay;
 use super::replies::{self, Reply};
 use super::results;
-use super::why;
+use super::waiting_page;
 use crate::clock;
 use crate::decide::endpoints::Endpoint;
 use crate::decide::freshness::StoreSubject;
@@ -95,7 +95,7 @@
 /// A connection can go silent, and nothing then shows that the other VM gave up on it. Without the
 /// limit its descriptor would stay in use until the process ends, and after thousands of them no
 /// caller could connect.
-pub const PEER_LIFE: Duration = Duration::from_secs(10);
+pub const PEER_CONNECTION_LIFETIME_MAX: Duration = Duration::from_secs(10);
 /// Maximum lifetime of a connection from the load balancer or an operator, whose scrapes may be a
 /// minute apart.
 pub const PAGE_CONNECTION_LIFETIME_MAX: Duration = Duration::from_secs(600);
@@ -151,11 +151,11 @@
         "/metrics" => {
             update_idle_counters(&node);
             update_confirmation_ages(&node);
-            replies::bytes(Bytes::from(node.counters.metrics.page().body))
+            replies::binary(Bytes::from(node.counters.metrics.page().body))
         }
         "/dump" => replies::json(200, Bytes::from(dump(&node))),
-        "/why" => replies::json(200, why::page(&node)),
-        "/quarantine" => replies::json(200, quarantine::page(&node)),
+        "/why" => replies::json(200, waiting_page::page(&node)),
+        "/quarantine" => replies::json(200, quarantine::operators_page(&node)),
         path => match path.strip_prefix(RELEASE_PATH) {
             Some(fingerprint) if request.method() == Method::POST => release(&node, fingerprint),
             _ => replies::empty(404),
@@ -189,7 +189,7 @@
     let core = node.core.borrow();
     for subject in StoreSubject::iter() {
         let name: &'static str = subject.into();
-        let age = core.proofs.age(now, subject);
+        let age = core.freshness.age(now, subject);
         let gauge = node.counters.confirmation_age.with_label_values(&[name]);
         gauge.set(age.map_or(f64::INFINITY, |age| age.as_secs_f64()));
     }
@@ -201,8 +201,8 @@
         relay::PATH => relay::answer(&node, request.into_body()).await,
         path if path.starts_with(live_watch::PATH) => live_watch::answer(&node, path).await,
         path if path.starts_with(results::PATH) => results::answer(&node, path).await,
-        path if path.starts_with(jobs::ENDED_PATH) => jobs::told_ended(&node, path).await,
-        path => peers::answer(&node, path),
+        path if path.starts_with(jobs::ENDED_PATH) => jobs::receive_ended(&node, path).await,
+        path => peers::answer_fetch(&node, path),
     }
 }
 
@@ -211,7 +211,7 @@
     let core = node.core.borrow();
     let (items, items_running) = core.items.counts();
     let endpoint = |row: &Endpoint| EndpointRow {
-        name: row.declared.name.to_string(),
+        name: row.config.name.to_string(),
         usable: row.usable(now),
         online_here: row.online_here,
         online_elsewhere: row.online_elsewhere,
@@ -228,7 +228,7 @@
     let confirmation = |subject| ConfirmationRow {
         subject,
         age_ms: core
-            .proofs
+            .freshness
             .age(now, subject)
             .map(|age| age.as_millis() as u64),
     };
@@ -248,8 +248,8 @@
         waiting: core.online.waiting(now),
         endpoints: core.online.endpoints.rows.iter().map(endpoint).collect(),
         jobs: core.jobs.rows.values().map(job).collect(),
-        quarantine: quarantine::listed(&core),
-        quotas: quotas::uses(&core, now),
+        quarantine: quarantine::list(&core),
+        quotas: quotas::usage(&core, now),
         store_answers: node.store_answers.get(),
     };
     // The dump consists of numbers and strings, so JSON can represent all of it.
