--- a/src/serve/admit.rs
+++ b/src/serve/job_admission.rs
@@ -3,18 +3,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use super::jobs::{accepted_before, encode, reread, write};
+use super::jobs::{already_accepted, encode, read_from_store, write};
 use super::node::Node;
 use super::replies::{self, Reply};
 use crate::clock;
 use crate::decide::backlog::{
-    self, AdmissionPath, BacklogView, Reservations, Reserved, RouteKey, RETURN_MIN,
+    self, AdmissionPath, BacklogView, Reservation, Reservations, RouteKey, RETRY_AFTER_MIN,
 };
 use crate::decide::refusal::RefusalKind;
 use crate::decide::routes::Route;
-use crate::decide::small_jobs::Record;
+use crate::decide::small_jobs::SmallJobRecord;
 use crate::id::{JobId, Name, Revision};
-use crate::store::{Settled, Txn};
+use crate::store::{CommitOutcome, Txn};
 use crate::util;
 
 /// Key prefix of the reservation records in the store.
@@ -27,15 +27,15 @@
 
 /// Admits a job, or returns the refusal. The result of an admitted job's write must be passed to
 /// [`note_write`].
-pub async fn admit(node: &Rc<Node>, route: &Route, record: &Record) -> Result<(), Reply> {
+pub async fn admit(node: &Rc<Node>, route: &Route, record: &SmallJobRecord) -> Result<(), Reply> {
     let Some(limit_tokens) = route.waiting_tokens_max else {
         return Ok(());
     };
-    let requested = Reserved {
+    let requested = Reservation {
         job: record.id.clone(),
         tokens: record.open_tokens(),
     };
-    let key = backlog::key(&route.name, record.workspace.as_deref());
+    let key = backlog::route_key(&route.name, record.workspace.as_deref());
     let workspace = &record.workspace;
     let path = {
         let now = clock::now();
@@ -65,20 +65,20 @@
 }
 
 /// Records how the write of an admitted job ended.
-pub fn settled(node: &Node, job: &JobId, outcome: &Settled) {
+pub fn note_write(node: &Node, job: &JobId, outcome: &CommitOutcome) {
     let now = clock::now();
     let mut core = node.core.borrow_mut();
     match outcome {
-        Settled::Won(_) => core.backlog.job_written(now, job),
+        CommitOutcome::Won(_) => core.backlog.job_written(now, job),
         // The job was accepted earlier or by another VM, or nothing was written.
-        Settled::Lost(_) | Settled::Away(_) => core.backlog.job_abandoned(job),
+        CommitOutcome::Lost(_) | CommitOutcome::Away(_) => core.backlog.job_abandoned(job),
         // The write may still take effect, so the job stays counted for a while.
-        Settled::Unknown(_) => {}
+        CommitOutcome::Unknown(_) => {}
     }
 }
 
 /// Records how many tokens wait on each route that has a limit.
-pub fn look(node: &Node, now: Duration) {
+pub fn note_waiting_tokens(node: &Node, now: Duration) {
     let Some(routes) = node.routes() else {
         return;
     };
@@ -97,13 +97,13 @@
 fn backlog_view(node: &Node, now: Duration, route: RouteKey, limit_tokens: u64) -> BacklogView {
     let core = node.core.borrow();
     let by_records = core.jobs.open_tokens(route);
-    let by_reports = core.jobs.open_tokens_of(route, |owner| {
+    let by_reports = core.jobs.open_tokens_of_owners(route, |owner| {
         owner == node.owner || !core.peers.reports_waiting(now, owner)
     });
     let reported = by_reports + core.peers.backlog(now, route, node.domain, node.vm);
     let writing = core
         .backlog
-        .being_written(route, |job| core.jobs.rows.contains_key(job));
+        .tokens_being_written(route, |job| core.jobs.rows.contains_key(job));
     // In a large fleet the local records lag behind the totals that VMs report.
     let waiting = if core.peers.is_large() {
         reported
@@ -129,7 +129,7 @@
     route: RouteKey,
     workspace: &Option<Name>,
     limit_tokens: u64,
-    requested: &Reserved,
+    requested: &Reservation,
 ) -> Result<(), Reply> {
     let key = format!("{RESERVATIONS_PREFIX}{route:016x}");
     let (mut current, mut revision) = read_reservations(node, &key).await?;
@@ -153,20 +153,20 @@
             deletes: Vec::new(),
         };
         match node.store.commit(txn, WRITE_TIMEOUT).await {
-            Settled::Won(_) => {
+            CommitOutcome::Won(_) => {
                 let now = clock::now();
                 node.core
                     .borrow_mut()
                     .backlog
-                    .reserved(now, route, requested);
+                    .reservation_written(now, route, requested);
                 return Ok(());
             }
-            Settled::Lost(Some(found)) => {
+            CommitOutcome::Lost(Some(found)) => {
                 current = decode(&key, &found.value);
                 revision = found.revision;
             }
-            Settled::Lost(None) => (current, revision) = (Reservations::default(), 0),
-            Settled::Away(detail) | Settled::Unknown(detail) => {
+            CommitOutcome::Lost(None) => (current, revision) = (Reservations::default(), 0),
+            CommitOutcome::Away(detail) | CommitOutcome::Unknown(detail) => {
                 log::warn!(job = *requested.job, detail; "job refused: no reservation could be written");
                 return Err(store_unavailable());
             }
@@ -197,7 +197,7 @@
 }
 
 fn store_unavailable() -> Reply {
-    replies::refusal(RefusalKind::PlatformAway, true, Some(RETURN_MIN))
+    replies::refusal(RefusalKind::PlatformAway, true, Some(RETRY_AFTER_MIN))
 }
 
 /// The reply to a job that exceeds the limit. A job that was accepted before, and is submitted
@@ -208,11 +208,11 @@
     route: RouteKey,
     workspace: &Option<Name>,
     limit_tokens: u64,
-    requested: &Reserved,
+    requested: &Reservation,
 ) -> Reply {
-    let existing = reread(node, &requested.job).await;
+    let existing = read_from_store(node, &requested.job).await;
     if let Ok(record) = &existing {
-        return accepted_before(record, workspace);
+        return already_accepted(record, workspace);
     }
     if existing.is_err_and(|reply| reply.status() != 404) {
         return store_unavailable();
@@ -220,9 +220,7 @@
     let now = clock::now();
     let view = backlog_view(node, now, route, limit_tokens);
     let core = node.core.borrow();
-    let retry_after = core
-        .backlog
-        .return_after(now, route, requested.tokens, view);
+    let retry_after = core.backlog.retry_after(now, route, requested.tokens, view);
     log::info!(
         job = *requested.job,
         tokens = requested.tokens,
--- a/src/serve/job_table.rs
+++ b/src/serve/job_table.rs
@@ -6,14 +6,14 @@
 
 use tokio::sync::Notify;
 
-use super::parts::PartCache;
+use super::part_cache::PartCache;
 use crate::decide::backlog::{self, RouteKey};
-use crate::decide::small_jobs::Record;
+use crate::decide::small_jobs::SmallJobRecord;
 use crate::id::{JobId, Name, OwnerId, Revision};
 
 /// One job as last received.
 pub struct Job {
-    pub record: Rc<Record>,
+    pub record: Rc<SmallJobRecord>,
     /// Key of the job's route and workspace.
     route: RouteKey,
     /// Tokens of its open items. Invariant: computed anew with each record.
@@ -52,16 +52,16 @@
 impl Jobs {
     /// Takes a record unless a newer one is here. `confirmed_at` is when the store returned it.
     /// Returns the key of its route and the number of tokens that finished with this record.
-    pub fn take(
+    pub fn apply_record(
         &mut self,
         now: Duration,
         confirmed_at: Duration,
-        record: Record,
+        record: SmallJobRecord,
         revision: Revision,
     ) -> Option<(RouteKey, u64)> {
         self.revision = self.revision.max(revision);
         let id = record.id.clone();
-        let route = backlog::key(&record.route, record.workspace.as_deref());
+        let route = backlog::route_key(&record.route, record.workspace.as_deref());
         let open_tokens = record.open_tokens();
         match self.rows.get_mut(&id) {
             Some(job) if revision < job.revision => None,
@@ -102,23 +102,23 @@
         let jobs = self.rows.values();
         let jobs = jobs.filter(|job| *job.record.route == *route);
         let keys = jobs.map(|job| job.route);
-        keys.chain([backlog::key(route, None)]).collect()
+        keys.chain([backlog::route_key(route, None)]).collect()
     }
 
     /// Tokens of open items on a route, summed over the records.
     pub fn open_tokens(&self, route: RouteKey) -> u64 {
-        self.open_tokens_of(route, |_| true)
+        self.open_tokens_of_owners(route, |_| true)
     }
 
     /// Tokens of open items on a route in jobs whose owner fits.
-    pub fn open_tokens_of(&self, route: RouteKey, owner: impl Fn(OwnerId) -> bool) -> u64 {
+    pub fn open_tokens_of_owners(&self, route: RouteKey, owner: impl Fn(OwnerId) -> bool) -> u64 {
         let rows = self.rows.values().filter(|job| job.route == route);
         let rows = rows.filter(|job| owner(job.record.owner));
         rows.map(|job| job.open_tokens).sum()
     }
 
     /// The record of a job and its revision.
-    pub fn current(&self, job: &JobId) -> Option<(Rc<Record>, Revision)> {
+    pub fn current(&self, job: &JobId) -> Option<(Rc<SmallJobRecord>, Revision)> {
         let row = self.rows.get(job)?;
         Some((row.record.clone(), row.revision))
     }
@@ -130,14 +130,14 @@
 }
 
 /// Whether a job has another owner, or has ended.
-fn has_new_owner_or_end(before: &Record, after: &Record) -> bool {
+fn has_new_owner_or_end(before: &SmallJobRecord, after: &SmallJobRecord) -> bool {
     let ownership =
-        |record: &Record| (record.owner, record.epoch, record.cancelled, record.ended());
+        |record: &SmallJobRecord| (record.owner, record.epoch, record.cancelled, record.ended());
     ownership(before) != ownership(after)
 }
 
 /// Decodes a record; `None` when it is invalid, which is logged.
-pub fn decode(key: &str, value: &[u8]) -> Option<Record> {
+pub fn decode(key: &str, value: &[u8]) -> Option<SmallJobRecord> {
     match serde_json::from_slice(value) {
         Ok(record) => Some(record),
         Err(error) => {
--- a/src/serve/jobs.rs
+++ b/src/serve/jobs.rs
@@ -6,21 +6,21 @@
 use base64::prelude::{Engine, BASE64_STANDARD};
 use bytes::Bytes;
 
-use super::admit;
 use super::ask::{ask, reply};
-use super::dialect::Ask;
+use super::dialect::RequestParams;
+use super::job_admission;
 use super::job_table::decode;
 use super::node::Node;
-use super::parts;
+use super::part_cache;
 use super::peers;
 use super::replies::{self, Reply};
 use super::runs;
 use crate::clock;
 use crate::decide::refusal::RefusalKind;
 use crate::decide::routes::Route;
-use crate::decide::small_jobs::{self, body_key, record_key, Item, Record};
+use crate::decide::small_jobs::{self, body_key, record_key, Item, SmallJobRecord};
 use crate::id::{JobId, Name, Revision};
-use crate::store::{Settled, Txn, Write};
+use crate::store::{CommitOutcome, Txn, Write};
 use crate::util;
 
 /// Time in which the store has to settle a submission or a cancellation; callers wait 4 s at most.
@@ -45,7 +45,7 @@
     node: Rc<Node>,
     route: &Route,
     caller: Option<Name>,
-    ask: Ask,
+    ask: RequestParams,
     body: Bytes,
 ) -> Reply {
     let Some(id) = ask.id else {
@@ -54,7 +54,7 @@
     let id: JobId = id.into();
     let existing = node.core.borrow().jobs.current(&id);
     if let Some((record, _)) = existing {
-        return accepted_before(&record, &caller);
+        return already_accepted(&record, &caller);
     }
     let items = match (node.dialect.submission)(&body) {
         Ok(items) => items,
@@ -63,18 +63,18 @@
             return replies::refusal(RefusalKind::BadRequest, true, None);
         }
     };
-    if let Some(item) = small_jobs::named_twice(&items) {
+    if let Some(item) = small_jobs::duplicate_id(&items) {
         log::info!(job = *id, item = **item; "job refused: duplicate item id");
         return replies::refusal(RefusalKind::BadRequest, true, None);
     }
     let parts = match small_jobs::body_parts(&items) {
-        Some(parts) if items.len() <= small_jobs::ITEMS_MAX && !items.is_empty() => parts,
+        Some(parts) if items.len() <= small_jobs::ITEMS_MAX && !items.is_empty() => part_cache,
         _ => return replies::refusal(RefusalKind::TooLarge, true, None),
     };
-    let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &parts);
+    let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &part_cache);
     record.workspace = caller;
     // A task of its own: a caller that disconnects must not stop the write from being settled.
-    let accepted = accept(node.clone(), route.clone(), record, parts);
+    let accepted = accept(node.clone(), route.clone(), record, part_cache);
     let settled = tokio::task::spawn_local(accepted).await;
     settled.unwrap_or_else(|_| replies::refusal(RefusalKind::PlatformAway, false, None))
 }
@@ -86,15 +86,15 @@
     route: &Route,
     items: &[Item],
     parts: &[Vec<Item>],
-) -> Record {
+) -> SmallJobRecord {
     let mut first = 0;
     let mut body_parts = Vec::new();
-    for part in parts {
+    for part in part_cache {
         body_parts.push(first);
         first += part.len() as u32;
     }
     let created_ms = clock::unix_ms();
-    Record {
+    SmallJobRecord {
         id,
         host: host.into(),
         route: route.name.clone(),
@@ -117,36 +117,44 @@
 }
 
 /// Writes record and items in one transaction, and answers by its outcome.
-async fn accept(node: Rc<Node>, route: Route, record: Record, parts: Vec<Vec<Item>>) -> Reply {
+async fn accept(
+    node: Rc<Node>,
+    route: Route,
+    record: SmallJobRecord,
+    parts: Vec<Vec<Item>>,
+) -> Reply {
     let id = record.id.clone();
-    if let Err(reply) = admit::admit(&node, &route, &record).await {
+    if let Err(reply) = job_admission::admit(&node, &route, &record).await {
         return reply;
     }
     let part = |(number, part)| write(body_key(&id, number as u32), encode(part));
-    let writes = parts.iter().enumerate().map(part).collect();
+    let writes = part_cache.iter().enumerate().map(part).collect();
     let started = clock::now();
     let settled = replace_record_with_parts(&node, &record, 0, writes).await;
-    admit::settled(&node, &id, &settled);
+    job_admission::note_write(&node, &id, &settled);
     let took_ms = clock::now().saturating_sub(started).as_millis() as u64;
     let items = record.items.len();
     match settled {
-        Settled::Won(revision) => {
+        CommitOutcome::Won(revision) => {
             log::info!(job = *id, items, revision, took_ms; "job accepted");
             let took_s = Duration::from_millis(took_ms).as_secs_f64();
-            node.counters.accepted.observe(took_s);
-            node.counters.jobs.with_label_values(&["accepted"]).inc();
+            node.counters.job_accepted_seconds.observe(took_s);
+            node.counters
+                .jobs_taken
+                .with_label_values(&["accepted"])
+                .inc();
             runs::adopt(&node, &id);
             replies::empty(202)
         }
-        Settled::Lost(_) => match node.core.borrow().jobs.current(&id) {
-            Some((existing, _)) => accepted_before(&existing, &record.workspace),
+        CommitOutcome::Lost(_) => match node.core.borrow().jobs.current(&id) {
+            Some((existing, _)) => already_accepted(&existing, &record.workspace),
             None => replies::empty(202),
         },
-        Settled::Away(detail) => {
+        CommitOutcome::Away(detail) => {
             log::warn!(job = *id, took_ms, detail; "job refused: the store is away");
             replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER))
         }
-        Settled::Unknown(detail) => {
+        CommitOutcome::Unknown(detail) => {
             log::warn!(job = *id, took_ms, detail; "job in doubt: the store's answer was lost");
             replies::refusal(RefusalKind::PlatformAway, false, None)
         }
@@ -155,7 +163,7 @@
 
 /// The answer to a submission whose job exists already. An id belongs to the workspace that
 /// submitted it first.
-pub(super) fn accepted_before(existing: &Record, caller: &Option<Name>) -> Reply {
+pub(super) fn already_accepted(existing: &SmallJobRecord, caller: &Option<Name>) -> Reply {
     let same = existing.workspace == *caller;
     log::info!(job = *existing.id, same_workspace = same; "job already accepted");
     match same {
@@ -174,11 +182,11 @@
 }
 
 /// The job's record from the table, else from the store, else the refusal to answer with.
-pub(super) async fn find(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
+pub(super) async fn find(node: &Rc<Node>, job: &JobId) -> Result<Rc<SmallJobRecord>, Reply> {
     let known = node.core.borrow().jobs.current(job);
     match known {
         Some((record, _)) => Ok(record),
-        None => reread(node, job).await,
+        None => read_from_store(node, job).await,
     }
 }
 
@@ -187,7 +195,7 @@
     node: &Rc<Node>,
     caller: &Option<Name>,
     job: &JobId,
-) -> Result<Rc<Record>, Reply> {
+) -> Result<Rc<SmallJobRecord>, Reply> {
     let record = find(node, job).await?;
     let routes = node.routes();
     let keyless = routes.is_some_and(|routes| routes.workspaces.is_none());
@@ -201,7 +209,10 @@
 
 /// The job's record from the store, else the refusal to answer with: 404 only when the store has no
 /// such record.
-pub(super) async fn reread(node: &Rc<Node>, job: &JobId) -> Result<Rc<Record>, Reply> {
+pub(super) async fn read_from_store(
+    node: &Rc<Node>,
+    job: &JobId,
+) -> Result<Rc<SmallJobRecord>, Reply> {
     let key = record_key(job);
     let item = match node.store.get(&key).await {
         Ok(Some(item)) => item,
@@ -213,7 +224,7 @@
     };
     let mut core = node.core.borrow_mut();
     let now = clock::now();
-    core.take_job(now, now, record, item.revision);
+    core.apply_job(now, now, record, item.revision);
     let existing = core.jobs.current(job);
     existing
         .map(|(record, _)| record)
@@ -232,11 +243,11 @@
         Err(reply) => return reply,
     };
     let index = record.items.iter().position(|known| *known == item);
-    let position = index.and_then(|index| record.body_place(index as u32));
+    let position = index.and_then(|index| record.body_location(index as u32));
     let Some((part, position)) = position.filter(|_| !record.cancelled) else {
         return replies::refusal(RefusalKind::NotFound, true, None);
     };
-    let read = parts::read::<Vec<Item>>(&node, body_key(&job, part), record.owner).await;
+    let read = part_cache::read::<Vec<Item>>(&node, body_key(&job, part), record.owner).await;
     let body = match &read {
         Ok(items) => items
             .get(position)
@@ -247,7 +258,7 @@
         }
     };
     match body {
-        Some(Ok(body)) => replies::bytes(body.into()),
+        Some(Ok(body)) => replies::binary(body.into()),
         _ => replies::refusal(RefusalKind::PlatformAway, true, Some(STORE_RETRY_AFTER)),
     }
 }
@@ -265,15 +276,15 @@
         let existing = node.core.borrow().jobs.current(&job);
         let revision = existing.map_or(0, |(_, revision)| revision);
         match replace_record(&node, &ended, revision).await {
-            Settled::Won(_) => {
+            CommitOutcome::Won(_) => {
                 log::info!(job = *job, listed = ended.listed.len(); "job cancelled by its caller");
                 runs::forget(&node, &job);
                 report_to_owner(&node, &record).await;
                 return replies::empty(200);
             }
             // Another writer came first; its record is in the table now.
-            Settled::Lost(_) => {}
-            Settled::Away(detail) | Settled::Unknown(detail) => {
+            CommitOutcome::Lost(_) => {}
+            CommitOutcome::Away(detail) | CommitOutcome::Unknown(detail) => {
                 return store_unavailable(&job, &detail)
             }
         }
@@ -285,7 +296,7 @@
 ///
 /// Without this, the owner learns of it from the store by way of its delegate; while that delegate
 /// is frozen with its connection open, the cancelled job's items run on for 2.6 s more.
-async fn report_to_owner(node: &Node, record: &Record) {
+async fn report_to_owner(node: &Node, record: &SmallJobRecord) {
     let Some(owner) = peers::remote_owner(node, record.owner) else {
         return;
     };
@@ -297,12 +308,12 @@
 }
 
 /// Receives another VM's report that a job was cancelled, and checks it against the store.
-pub async fn told_ended(node: &Rc<Node>, path: &str) -> Reply {
+pub async fn receive_ended(node: &Rc<Node>, path: &str) -> Reply {
     let job: JobId = path.strip_prefix(ENDED_PATH).unwrap_or_default().into();
     if !node.core.borrow().jobs.rows.contains_key(&job) {
         return replies::empty(404);
     }
-    let read = reread(node, &job).await;
+    let read = read_from_store(node, &job).await;
     if read.is_ok_and(|record| record.cancelled) {
         runs::forget(node, &job);
     }
@@ -311,20 +322,24 @@
 
 /// Replaces a job's record if it still is at `revision`, and takes the record that stands
 /// afterwards into the table.
-pub async fn replace_record(node: &Rc<Node>, record: &Record, revision: Revision) -> Settled {
+pub async fn replace_record(
+    node: &Rc<Node>,
+    record: &SmallJobRecord,
+    revision: Revision,
+) -> CommitOutcome {
     replace_record_with_parts(node, record, revision, Vec::new()).await
 }
 
 /// Like [`replace_record`], with parts in the same transaction, which are cached once they are written.
 pub async fn replace_record_with_parts(
     node: &Rc<Node>,
-    record: &Record,
+    record: &SmallJobRecord,
     revision: Revision,
     parts: Vec<Write>,
-) -> Settled {
+) -> CommitOutcome {
     let key = record_key(&record.id);
     let mut writes = vec![write(key.clone(), encode(record))];
-    writes.extend(parts.iter().cloned());
+    writes.extend(part_cache.iter().cloned());
     let txn = Txn {
         expect: vec![(key.clone(), revision)],
         writes,
@@ -334,22 +349,22 @@
     let now = clock::now();
     let mut core = node.core.borrow_mut();
     match &settled {
-        Settled::Won(revision) => {
-            core.take_job(now, now, record.clone(), *revision);
-            for part in parts {
+        CommitOutcome::Won(revision) => {
+            core.apply_job(now, now, record.clone(), *revision);
+            for part in part_cache {
                 core.jobs.parts.insert(part.key, part.value);
             }
-            node.tell_peers.notify_one();
+            node.heartbeat_due.notify_one();
         }
-        Settled::Lost(Some(found)) => {
+        CommitOutcome::Lost(Some(found)) => {
             if let Some(other) = decode(&key, &found.value) {
-                core.take_job(now, now, other, found.revision);
+                core.apply_job(now, now, other, found.revision);
             }
         }
-        Settled::Lost(None) => {
+        CommitOutcome::Lost(None) => {
             core.jobs.rows.remove(&record.id);
         }
-        Settled::Away(_) | Settled::Unknown(_) => {}
+        CommitOutcome::Away(_) | CommitOutcome::Unknown(_) => {}
     }
     settled
 }
--- a/src/serve/live_watch.rs
+++ b/src/serve/live_watch.rs
@@ -18,13 +18,13 @@
 use super::job_table::{decode, Job};
 use super::jobs::encode;
 use super::node::{Core, Node};
-use super::proving::ask_store;
+use super::refreshing::ask_store;
 use super::replies::{self, Reply};
 use super::watch::{self, follow, FollowedPrefix, StoreUpdate, WatchAnswer};
 use crate::clock;
 use crate::decide::freshness::StoreSubject;
 use crate::decide::peers::VmRecord;
-use crate::decide::small_jobs::{record_key, RECORDS};
+use crate::decide::small_jobs::{record_key, RECORD_PREFIX};
 use crate::id::Revision;
 use crate::store::{Change, Error, Item};
 
@@ -122,7 +122,7 @@
 /// Without this, a watch whose connection is silent while all other calls succeed goes unnoticed: a
 /// caller cancels a job at another VM, and its items run on here for up to half a minute. The
 /// heartbeats of the other VMs carry the newest revision that they have.
-pub async fn doubt(node: Rc<Node>) {
+pub async fn detect_silent_watch(node: Rc<Node>) {
     // A revision that other VMs had reported, and when. Later revisions don't replace it, since
     // they say nothing of the watch.
     let mut awaited: Option<(Revision, Duration)> = None;
@@ -146,7 +146,7 @@
             awaited = Some((newest, now));
         } else if now >= since + SILENT_WATCH_AFTER {
             log::info!(told = revision, watched; "the watches are set anew: another VM knows more");
-            node.watch_again.notify_waiters();
+            node.restart_watches.notify_waiters();
             awaited = None;
         }
     }
@@ -155,7 +155,7 @@
 /// The VM that this one follows; `None` for the store.
 fn followed_vm(node: &Node) -> Option<SocketAddr> {
     let now = clock::now();
-    let own = node.own();
+    let own = node.local_vm();
     let core = node.core.borrow();
     let watcher = core.peers.watching_vm(now, own)?;
     let unanswered = core.live.unanswered;
@@ -176,7 +176,7 @@
             if let Some(age_ms) = received.proof_age_ms {
                 let age = Duration::from_millis(age_ms);
                 let mut core = node.core.borrow_mut();
-                core.proofs
+                core.freshness
                     .confirm_by_peer_at(StoreSubject::Live, clock::now(), age);
             }
             Ok(Some(WatchAnswer {
@@ -228,7 +228,7 @@
 fn is_behind(core: &Core) -> bool {
     let now = clock::now();
     let failed_for = core.discovery.store_failed_for(now);
-    core.proofs.is_live_stale(now, failed_for)
+    core.freshness.is_live_stale(now, failed_for)
 }
 
 fn changes_after(node: &Node, after: Revision) -> Changes {
@@ -262,7 +262,7 @@
         key: key.clone(),
         revision: *revision,
     });
-    let age = core.proofs.age(clock::now(), StoreSubject::Live);
+    let age = core.freshness.age(clock::now(), StoreSubject::Live);
     Changes {
         // Deletions come first: a key that was deleted and written again must exist in the end.
         changes: deleted.chain(jobs).chain(vms).collect(),
@@ -290,7 +290,7 @@
         if item.key.starts_with(VMS) {
             apply_registration(&mut core.live, item);
         } else if let Some(record) = decode(&item.key, &item.value) {
-            core.take_job(now, confirmed_at, record, item.revision);
+            core.apply_job(now, confirmed_at, record, item.revision);
         }
     }
     let vms: Vec<VmRecord> = core.live.vms.values().map(|(vm, _)| vm.clone()).collect();
@@ -341,7 +341,7 @@
     if known.is_some_and(|(_, revision)| *revision < at) {
         core.live.vms.remove(key);
     }
-    let job = key.strip_prefix(RECORDS).unwrap_or_default();
+    let job = key.strip_prefix(RECORD_PREFIX).unwrap_or_default();
     let known = core.jobs.rows.get(job);
     if known.is_some_and(|known| known.revision < at) {
         core.jobs.rows.remove(job);
--- a/src/serve/node.rs
+++ b/src/serve/node.rs
@@ -17,7 +17,7 @@
 use super::live_watch::Live;
 use super::pool::Pool;
 use super::quarantine;
-use super::relay::relayed;
+use super::relay::with_relay;
 use super::runs::Runs;
 use crate::clock;
 use crate::decide::access::Workspace;
@@ -30,14 +30,14 @@
 use crate::decide::quarantine::Quarantine;
 use crate::decide::quota::{self, QuotaMeasure, Quotas};
 use crate::decide::routes::{RouteKind, RouteTable, Rules};
-use crate::decide::small_jobs::Record;
+use crate::decide::small_jobs::SmallJobRecord;
 use crate::decide::usage::Usage;
 use crate::id::{
     self, ConfigVersion, DomainId, EndpointId, OwnerId, RequestId, Revision, ServiceId, VmId,
     WorkspaceId,
 };
 use crate::settings;
-use crate::store::{EndedCall, Store};
+use crate::store::{FinishedCall, Store};
 use crate::util;
 use crate::wire::Key;
 
@@ -72,7 +72,7 @@
     pub live: Live,
     pub peers: Peers,
     /// When the store last confirmed each subject that is followed there.
-    pub proofs: Freshness,
+    pub freshness: Freshness,
     /// Requests that end their endpoints.
     pub quarantine: Quarantine,
     /// Request counts of the workspaces, checked against their quotas.
@@ -97,26 +97,31 @@
     }
 
     /// Applies the confirmation ages that another VM reports; `theirs` are the versions it has.
-    pub fn take_proofs(&mut self, now: Duration, ages: ConfirmationAges, theirs: KnownVersions) {
+    pub fn apply_confirmation_ages(
+        &mut self,
+        now: Duration,
+        ages: ConfirmationAges,
+        theirs: KnownVersions,
+    ) {
         let local = self.versions();
         let matches = VersionsMatch {
             rules: local.rules >= theirs.rules,
             endpoints: local.endpoints >= theirs.endpoints,
         };
-        self.proofs.confirm_by_peer(now, ages, matches);
+        self.freshness.confirm_by_peer(now, ages, matches);
     }
 
     /// Stores a job's record, and counts the tokens that it newly shows as finished.
-    pub fn take_job(
+    pub fn apply_job(
         &mut self,
         now: Duration,
         confirmed_at: Duration,
-        record: Record,
+        record: SmallJobRecord,
         revision: Revision,
     ) {
-        let finished = self.jobs.take(now, confirmed_at, record, revision);
+        let finished = self.jobs.apply_record(now, confirmed_at, record, revision);
         if let Some((route, tokens)) = finished.filter(|(_, tokens)| *tokens > 0) {
-            self.backlog.finished(now, route, tokens);
+            self.backlog.tokens_finished(now, route, tokens);
         }
     }
 }
@@ -128,7 +133,7 @@
     /// The metadata store, reached through another VM when this one gets no answer.
     pub store: Store,
     /// The metadata store, reached directly only.
-    pub own_store: Store,
+    pub direct_store: Store,
     pub started_at: Duration,
     /// Whether the last direct call on the store was answered.
     pub store_answers: Cell<bool>,
@@ -150,15 +155,15 @@
     pub listening: Cell<bool>,
     /// As a delegate: an endpoint has more work than it runs at once, and its batch items have to
     /// be preempted.
-    pub tell_pressed: Notify,
+    pub excess_reported: Notify,
     /// The in-flight counts of this VM have to be sent to the other VMs.
-    pub tell_peers: Notify,
+    pub heartbeat_due: Notify,
     /// Quarantine reports have to be sent to the other VMs.
-    pub tell_quarantine: Notify,
+    pub quarantine_reports_due: Notify,
     /// Batch items may have to be placed or preempted.
     pub plan_items: Notify,
     /// The watches' connections to the store may be broken.
-    pub watch_again: Notify,
+    pub restart_watches: Notify,
     /// Callers' connections are to be closed once they are idle.
     pub closing: Notify,
 }
@@ -180,7 +185,7 @@
             jobs: Jobs::default(),
             live: Live::default(),
             peers: Peers::new(settings.mesh_max),
-            proofs: Freshness::default(),
+            freshness: Freshness::default(),
             quarantine: Quarantine::default(),
             quotas: Quotas::new(quota_measure(&settings), clock::now()),
             stage: Stage::Serving,
@@ -203,11 +208,11 @@
                 owner: util::nonce() | 1,
                 key: Key::new(&settings.cluster_key),
                 dialect,
-                store: relayed(own_store.clone(), {
+                store: with_relay(own_store.clone(), {
                     let node = node.clone();
                     move || node.upgrade()
                 }),
-                own_store,
+                direct_store: own_store,
                 started_at: clock::now(),
                 store_answers: Cell::new(false),
                 renewed_at: Cell::new(None),
@@ -216,11 +221,11 @@
                 core: RefCell::new(core),
                 runs: Runs::default(),
                 open_requests: Cell::new(0),
-                tell_pressed: Notify::new(),
-                tell_peers: Notify::new(),
-                tell_quarantine: Notify::new(),
+                excess_reported: Notify::new(),
+                heartbeat_due: Notify::new(),
+                quarantine_reports_due: Notify::new(),
                 plan_items: Notify::new(),
-                watch_again: Notify::new(),
+                restart_watches: Notify::new(),
                 closing: Notify::new(),
                 listening: Cell::new(true),
                 settings,
@@ -235,7 +240,7 @@
     /// fail while the watches wait for half a minute, and the items of an ended job would run on.
     /// So each failure restarts the watches. Writes are excluded: their answers can be lost while
     /// reads still succeed.
-    fn note_store_call(&self, call: &EndedCall) {
+    fn note_store_call(&self, call: &FinishedCall) {
         let outcome = if call.answered { "answered" } else { "failed" };
         let counter = &self.counters.store_calls;
         counter.with_label_values(&[call.kind, outcome]).inc();
@@ -245,23 +250,23 @@
         if call.answered {
             return core.discovery.store_answered(now);
         }
-        let since = if call.waited { now } else { call.sent_at };
+        let since = if call.is_watch { now } else { call.sent_at };
         let others_served = core.peers.is_store_serving_for(now, CUT_OFF_AFTER);
         core.discovery.store_failed(now, since, others_served);
         drop(core);
-        if !call.writes {
-            self.watch_again.notify_waiters();
+        if !call.is_write {
+            self.restart_watches.notify_waiters();
         }
     }
 
     /// Records that the store answered a call on a subject; the call was sent at `sent_at`.
-    pub fn proved(&self, subject: StoreSubject, sent_at: Duration) {
-        self.core.borrow_mut().proofs.confirm(subject, sent_at);
+    pub fn confirm(&self, subject: StoreSubject, sent_at: Duration) {
+        self.core.borrow_mut().freshness.confirm(subject, sent_at);
     }
 
     /// Confirmation age of a subject in milliseconds, for the log; -1 if it was never confirmed.
     pub fn confirmation_age_ms(&self, subject: StoreSubject) -> i64 {
-        let age = self.core.borrow().proofs.age(clock::now(), subject);
+        let age = self.core.borrow().freshness.age(clock::now(), subject);
         age.map_or(-1, |age| age.as_millis() as i64)
     }
 
@@ -278,14 +283,14 @@
     }
 
     /// This VM as a candidate for watching the store and for delegate.
-    pub fn own(&self) -> LocalVm {
+    pub fn local_vm(&self) -> LocalVm {
         let draining = self.is_draining();
         LocalVm {
             vm: self.vm,
             domain: self.domain,
             core_share: self.settings.core_share,
             draining,
-            fit: !draining && self.store_answers.get(),
+            eligible: !draining && self.store_answers.get(),
         }
     }
 
@@ -295,7 +300,7 @@
     }
 
     /// Applies a configuration that is newer than the one in force; older ones are ignored.
-    pub fn take_rules(&self, rules: Rules, from: &str) {
+    pub fn apply_rules(&self, rules: Rules, from: &str) {
         let proof_age_ms = self.confirmation_age_ms(StoreSubject::Rules);
         let mut core = self.core.borrow_mut();
         let current = core.routes.as_ref().map(|table| table.rules.version);
@@ -307,7 +312,7 @@
         core.online.services = services(&rules);
         core.routes = Some(Rc::new(RouteTable::new(rules)));
         drop(core);
-        self.tell_peers.notify_one();
+        self.heartbeat_due.notify_one();
         self.plan_items.notify_one();
     }
 
@@ -340,7 +345,7 @@
     }
 
     /// Follows up on a report on endpoints; `changed` if it affects which of them may be used.
-    pub fn endpoints_told(&self, from: &str, changed: bool) {
+    pub fn endpoints_reported(&self, from: &str, changed: bool) {
         self.report_transitions(from);
         if changed {
             self.rebuild_endpoints(from);
@@ -351,7 +356,7 @@
     fn rebuild_endpoints(&self, from: &str) {
         let mut guard = self.core.borrow_mut();
         let core = &mut *guard;
-        let configured = core.discovery.declared();
+        let configured = core.discovery.endpoint_configs();
         let draining: Vec<EndpointId> = configured
             .iter()
             .filter(|(.., draining)| *draining)
@@ -383,7 +388,7 @@
         for endpoint in gone {
             quarantine::endpoint_ended(self, endpoint);
         }
-        self.tell_peers.notify_one();
+        self.heartbeat_due.notify_one();
         self.plan_items.notify_one();
     }
 
@@ -411,7 +416,7 @@
     }
 
     /// Records that data arrived from an endpoint.
-    pub fn heard(&self, endpoint: EndpointId) {
+    pub fn note_endpoint_data(&self, endpoint: EndpointId) {
         let mut core = self.core.borrow_mut();
         if let Some(row) = core.online.endpoints.get_mut(endpoint) {
             row.last_received_at = clock::now();
@@ -432,15 +437,15 @@
         let row = core.online.endpoints.get(endpoint)?;
         Some(Target {
             endpoint,
-            address: row.declared.address.to_string(),
-            instance: row.declared.name.to_string(),
+            address: row.config.address.to_string(),
+            instance: row.config.name.to_string(),
         })
     }
 
     /// Runs everything that depends on time alone.
     pub fn tick(&self) {
         let now = clock::now();
-        let local_vm = self.own();
+        let local_vm = self.local_vm();
         let mut guard = self.core.borrow_mut();
         let core = &mut *guard;
         core.usage.tick(now);
@@ -453,17 +458,23 @@
         let store = self.store_answers.get();
         let large = core.peers.is_large();
         let vms = core.peers.expected_vms(now) + 1;
-        core.quotas
-            .tick(now, quota::FleetView { store, large, vms });
+        core.quotas.tick(
+            now,
+            quota::FleetView {
+                store_available: store,
+                uses_delegates: large,
+                vms,
+            },
+        );
         core.online.endpoints.counts_lag =
             !core.peers.receives_domain_heartbeats(self.vm, self.domain);
         let changed = core.discovery.tick(now);
-        note_uses(core);
+        update_remote_uses(core);
         let mut actions = Vec::new();
         core.online.tick(now, &mut actions);
         self.dispatch(core, actions);
         drop(guard);
-        self.endpoints_told("time", changed);
+        self.endpoints_reported("time", changed);
         quarantine::tick(self);
         self.pool.tick(now);
     }
@@ -475,7 +486,7 @@
                     request, endpoint, ..
                 } => {
                     self.preempt_batch_items(core, *endpoint);
-                    self.tell_peers.notify_one();
+                    self.heartbeat_due.notify_one();
                     *request
                 }
                 Action::Refuse { request, .. } | Action::GiveUp { request } => *request,
@@ -490,8 +501,8 @@
     /// Has batch work preempted at once when an endpoint has more than it runs.
     fn preempt_batch_items(&self, core: &mut Core, endpoint: EndpointId) {
         let now = clock::now();
-        let batch_here = core.items.at(endpoint);
-        let elsewhere = core.usage.of(endpoint);
+        let batch_here = core.items.running_at(endpoint);
+        let elsewhere = core.usage.total(endpoint);
         let Some(row) = core.online.endpoints.get_mut(endpoint) else {
             return;
         };
@@ -503,15 +514,16 @@
             self.plan_items.notify_one();
         }
         if elsewhere.batch > 0 {
-            self.tell_peers.notify_one();
+            self.heartbeat_due.notify_one();
         }
     }
 }
 
 /// Copies the last reported use by other VMs into the endpoint rows.
-pub fn note_uses(core: &mut Core) {
+pub fn update_remote_uses(core: &mut Core) {
     let endpoints = &mut core.online.endpoints;
-    core.items.note_uses(clock::now(), endpoints, &core.usage);
+    core.items
+        .update_usage(clock::now(), endpoints, &core.usage);
 }
 
 /// How the settings specify the measuring of quotas.
@@ -536,7 +548,7 @@
                     first_token_goal: Duration::MAX,
                     queue_limit: QUEUED_REQUESTS_MAX,
                     max_in_flight: IN_FLIGHT_REQUESTS_MAX,
-                    learn: false,
+                    learn_limit: false,
                     shares: shares.clone(),
                 });
             service.first_token_goal = service.first_token_goal.min(route.goal);
--- a/src/serve/online.rs
+++ b/src/serve/online.rs
@@ -14,12 +14,12 @@
 use tokio::time::{sleep, timeout};
 
 use super::body::{BodyAborted, Chunk, ReplyBody};
-use super::dialect::{Ask, PromptPart};
+use super::dialect::{PromptSegment, RequestParams};
 use super::events::{check_next, Splitter};
 use super::exchange::{self, Answer, Failure, Outgoing, Target};
 use super::node::{Node, ANONYMOUS_WORKSPACE};
-use super::quarantine::{self, Trial};
-use super::quotas::{self, Counted};
+use super::quarantine::{self, TrialScope};
+use super::quotas::{self, CountedRequest};
 use super::replies::{self, Reply};
 use crate::clock;
 use crate::decide::access::{self, Credential};
@@ -42,7 +42,7 @@
 pub async fn serve(
     node: Rc<Node>,
     route: &Route,
-    params: Ask,
+    params: RequestParams,
     out: Outgoing,
     credential: Credential,
     service: ServiceId,
@@ -56,7 +56,7 @@
             return replies::refusal(RefusalKind::QuotaUsed, true, Some(retry_after))
         }
     };
-    let time_limit = params.patience.unwrap_or(route.timeout).min(route.timeout);
+    let time_limit = params.timeout.unwrap_or(route.timeout).min(route.timeout);
     let (request, actions) = node.register();
     let task = RequestTask {
         node: node.clone(),
@@ -121,7 +121,7 @@
 /// Key of the prompt prefix that other requests most likely share, or 0. The last segment but one
 /// stands for all segments before it, because a segment is cached only after the same preceding
 /// segments.
-fn shared_prefix(prompt: &[PromptPart]) -> u64 {
+fn shared_prefix(prompt: &[PromptSegment]) -> u64 {
     match prompt {
         [] => 0,
         [only] => only.id,
@@ -185,7 +185,7 @@
     /// The caller's credential.
     credential: Credential,
     /// The quota that the request was counted against.
-    counted: Option<Counted>,
+    counted: Option<CountedRequest>,
     /// An error answer of an endpoint, passed on if no other attempt succeeds.
     error_answer: Option<(response::Parts, Bytes)>,
     attempts: u32,
@@ -252,7 +252,7 @@
             self.refuse(kind, true, None).await;
             return true;
         }
-        if let Err(back_in) = quarantine::admit(&self.node, &self.out, Trial::OneOfAll) {
+        if let Err(back_in) = quarantine::admit(&self.node, &self.out, TrialScope::FirstRankedVm) {
             self.report_end(AttemptOutcome::Abandoned);
             let not_run = !self.may_have_run;
             self.refuse(RefusalKind::Quarantined, not_run, Some(back_in))
@@ -265,7 +265,7 @@
         self.sent_to = self.endpoint_name(endpoint);
         let result = match self.node.target(endpoint) {
             Some(target) => self.attempt(&target).await,
-            None => AttemptResult::Failed(Failure::unblamed(
+            None => AttemptResult::Failed(Failure::not_of_endpoint(
                 AttemptStage::NotSent,
                 "the endpoint is gone",
             )),
@@ -281,7 +281,7 @@
                     .counters
                     .answer_seconds
                     .observe(self.age().as_secs_f64());
-                quarantine::answered(&self.node, &self.out);
+                quarantine::request_answered(&self.node, &self.out);
                 self.report_end(AttemptOutcome::Done);
                 self.log("done", "answered");
                 true
@@ -320,7 +320,7 @@
                 workspaces,
                 self.public,
                 self.credential,
-                &core.proofs,
+                &core.freshness,
             )?
         };
         let workspace = caller.name();
@@ -335,10 +335,13 @@
     /// Handles a failed attempt; the scheduler decides what follows.
     async fn failed(&mut self, endpoint: EndpointId, failure: Failure) {
         self.may_have_run |= matches!(
-            failure.reach,
+            failure.stage,
             AttemptStage::MaybeSent | AttemptStage::Answering
         );
-        let target = self.node.target(endpoint).filter(|_| failure.lost);
+        let target = self
+            .node
+            .target(endpoint)
+            .filter(|_| failure.connection_lost);
         let ended = match target {
             Some(target) => self.connection_lost(&target).await,
             None => failure.endpoint_ended,
@@ -346,10 +349,12 @@
         if failure.endpoint_ended {
             quarantine::endpoint_ended(&self.node, endpoint);
         }
-        let name: &'static str = failure.reach.into();
+        let name: &'static str = failure.stage.into();
         let attempts = &self.node.counters.attempts;
         attempts.with_label_values(&[name]).inc();
-        let fingerprint = failure.lost.then(|| self.out.fingerprint().to_string());
+        let fingerprint = failure
+            .connection_lost
+            .then(|| self.out.fingerprint().to_string());
         log::info!(
             request = self.out.id,
             asked = fingerprint.unwrap_or_default(),
@@ -361,24 +366,28 @@
             age_ms = self.age().as_millis() as u64;
             "attempt failed"
         );
-        let Failure { reach, blame, .. } = failure;
+        let Failure {
+            stage: reach,
+            endpoint_at_fault: blame,
+            ..
+        } = failure;
         self.report_end(AttemptOutcome::Failed {
-            reach,
-            blame,
-            ended,
+            stage: reach,
+            endpoint_fault: blame,
+            endpoint_ended: ended,
         });
     }
 
     /// Reports that the connection of the last attempt broke; true if its endpoint has ended.
     async fn connection_lost(&self, target: &Target) -> bool {
         let sent_at = self.sent_at.unwrap_or(self.arrived_at);
-        let run = quarantine::Run {
+        let run = quarantine::FailedRun {
             out: &self.out,
             target,
             ran: clock::now().saturating_sub(sent_at),
             progressed: self.resumable && self.last_event > self.attempt_start_event,
         };
-        quarantine::lost(&self.node, run).await
+        quarantine::run_lost(&self.node, run).await
     }
 
     async fn attempt(&mut self, target: &Target) -> AttemptResult {
@@ -419,14 +428,14 @@
     async fn relay_whole(&mut self, target: &Target, answer: Answer) -> AttemptResult {
         let Answer {
             head,
-            said: decoded,
+            decoded,
             body,
             connection,
         } = answer;
         let bytes = match self.wait(collect(body)).await {
             WaitResult::Value(Some(bytes)) => bytes,
             WaitResult::Value(None) => {
-                return AttemptResult::Failed(Failure::lost(
+                return AttemptResult::Failed(Failure::of_connection(
                     AttemptStage::MaybeSent,
                     "the answer broke off",
                 ))
@@ -437,12 +446,12 @@
                 return AttemptResult::Failed(silent_failure(AttemptStage::MaybeSent))
             }
         };
-        self.node.heard(target.endpoint);
+        self.node.note_endpoint_data(target.endpoint);
         if let Some(keep_alive) = exchange::keep_alive(&head) {
-            self.node.pool.give(target.endpoint, connection, keep_alive);
+            self.node.pool.put(target.endpoint, connection, keep_alive);
         }
         if head.status.is_success() && !decoded.signed {
-            return AttemptResult::Failed(Failure::blamed(
+            return AttemptResult::Failed(Failure::of_endpoint(
                 AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
@@ -451,7 +460,7 @@
         if retryable || self.reply_start.is_none() {
             let detail = format!("answered {}", head.status.as_u16());
             self.error_answer = Some((head, bytes));
-            return AttemptResult::Failed(Failure::blamed(self.stage(), detail));
+            return AttemptResult::Failed(Failure::of_endpoint(self.stage(), detail));
         }
         self.node.handle_event(Event::FirstToken {
             request: self.request,
@@ -465,12 +474,12 @@
     async fn relay_events(&mut self, target: &Target, answer: Answer) -> AttemptResult {
         let Answer {
             head,
-            said: decoded,
+            decoded,
             mut body,
             connection,
         } = answer;
         if !decoded.signed {
-            return AttemptResult::Failed(Failure::blamed(
+            return AttemptResult::Failed(Failure::of_endpoint(
                 AttemptStage::MaybeSent,
                 "the answer is not signed",
             ));
@@ -487,7 +496,7 @@
             };
             match frame {
                 Some(Ok(frame)) => {
-                    self.node.heard(target.endpoint);
+                    self.node.note_endpoint_data(target.endpoint);
                     self.node.note_answer_data(self.request);
                     let Ok(data) = frame.into_data() else {
                         continue;
@@ -498,17 +507,17 @@
                 }
                 Some(Err(error)) => {
                     let detail = format!("the stream broke off: {error}");
-                    return AttemptResult::Failed(Failure::lost(self.stage(), detail));
+                    return AttemptResult::Failed(Failure::of_connection(self.stage(), detail));
                 }
-                None if splitter.partial() => {
+                None if splitter.has_partial() => {
                     let detail = "the stream ended within an event";
-                    return AttemptResult::Failed(Failure::lost(self.stage(), detail));
+                    return AttemptResult::Failed(Failure::of_connection(self.stage(), detail));
                 }
                 None => break,
             }
         }
         if let Some(keep_alive) = keep_alive {
-            self.node.pool.give(target.endpoint, connection, keep_alive);
+            self.node.pool.put(target.endpoint, connection, keep_alive);
         }
         self.begin_stream(&mut head);
         AttemptResult::Done
@@ -522,9 +531,12 @@
         head: &mut Option<response::Parts>,
     ) -> Option<AttemptResult> {
         let events = splitter.push(data);
-        if splitter.overlong() {
+        if splitter.is_too_long() {
             let detail = "an event exceeds the size limit";
-            return Some(AttemptResult::Failed(Failure::blamed(self.stage(), detail)));
+            return Some(AttemptResult::Failed(Failure::of_endpoint(
+                self.stage(),
+                detail,
+            )));
         }
         if events.is_empty() {
             return None;
@@ -548,7 +560,7 @@
                 Err(_) => return Some(AttemptResult::DeadlinePassed),
             }
         }
-        let failure = |detail| Failure::blamed(self.stage(), detail);
+        let failure = |detail| Failure::of_endpoint(self.stage(), detail);
         broken.map(|detail| AttemptResult::Failed(failure(detail)))
     }
 
@@ -570,7 +582,7 @@
     }
 
     fn begin_reply(&mut self, mut parts: response::Parts, whole: Option<Bytes>) {
-        parts.headers = exchange::end_to_end(&parts.headers);
+        parts.headers = exchange::end_to_end_headers(&parts.headers);
         parts.headers.remove(CONTENT_LENGTH);
         if let Some(head) = self.reply_start.take() {
             self.first_at = Some(clock::now());
@@ -591,7 +603,7 @@
     async fn refuse(&mut self, kind: RefusalKind, not_run: bool, retry_after: Option<Duration>) {
         let name: &'static str = kind.into();
         self.log("refused", name);
-        self.node.counters.refused.with_label_values(&[name]).inc();
+        self.node.counters.refusals.with_label_values(&[name]).inc();
         if let Some(counted) = self.counted.take().filter(|_| not_run) {
             quotas::give_back(&self.node, counted);
         }
@@ -603,7 +615,7 @@
         };
         let reply = match self.error_answer.take() {
             Some((mut parts, bytes)) => {
-                parts.headers = exchange::end_to_end(&parts.headers);
+                parts.headers = exchange::end_to_end_headers(&parts.headers);
                 ReplyStart::Relayed(parts, Some(bytes))
             }
             None => ReplyStart::Local(replies::refusal(kind, not_run, retry_after)),
@@ -617,7 +629,7 @@
             outcome,
         });
         self.node.plan_items.notify_one();
-        self.node.tell_peers.notify_one();
+        self.node.heartbeat_due.notify_one();
     }
 
     fn time_left(&self) -> Duration {
@@ -667,7 +679,7 @@
 
 fn silent_failure(stage: AttemptStage) -> Failure {
     // The scheduler detected the silence and has counted it against the endpoint.
-    Failure::unblamed(stage, "the endpoint went silent")
+    Failure::not_of_endpoint(stage, "the endpoint went silent")
 }
 
 fn is_events(headers: &HeaderMap) -> bool {
--- a/src/serve/peers.rs
+++ b/src/serve/peers.rs
@@ -30,7 +30,7 @@
 use crate::decide::routes::{Route, Rules};
 use crate::decide::usage::EndpointUse;
 use crate::id::{self, EndpointId, JobId, OwnerId, Revision};
-use crate::wire::DATAGRAM_BYTES;
+use crate::wire::DATAGRAM_BYTES_MAX;
 
 /// Time between two heartbeats while nothing changes. To other failure domains it also applies
 /// while counts change: their endpoints are used only when the local ones are full. With 52 VMs in
@@ -96,7 +96,7 @@
 }
 
 /// Sends heartbeats until the process ends.
-pub async fn send(node: Rc<Node>, socket: Rc<UdpSocket>) {
+pub async fn send_heartbeats(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut sequence = 0;
     let mut remote_due = Duration::ZERO;
     let (mut counts_due, mut all_counts_due) = (Duration::ZERO, Duration::ZERO);
@@ -110,7 +110,7 @@
             heartbeat.rules,
             heartbeat.endpoints,
             heartbeat.draining,
-            heartbeat.store,
+            heartbeat.store_available,
         ));
         // A job was admitted on a route with a limit. Without this, a VM that receives the count
         // half a second later admits more than may wait where the limit was lowered meanwhile.
@@ -138,7 +138,7 @@
                 |count: &WorkspaceCount| all_counts || near_quota.contains(&count.workspace);
             send_to_remote_domains(&node, &socket, retain_counts(heartbeat, is_sent));
         }
-        let _ = timeout(HEARTBEAT_INTERVAL, node.tell_peers.notified()).await;
+        let _ = timeout(HEARTBEAT_INTERVAL, node.heartbeat_due.notified()).await;
         let meshed = node
             .core
             .borrow()
@@ -161,7 +161,7 @@
 ) -> HashSet<WorkspaceKey> {
     let core = node.core.borrow();
     let rows = heartbeat.counts.rows.iter();
-    let near = rows.filter(|row| quotas::is_pressed(&core, now, row));
+    let near = rows.filter(|row| quotas::needs_prompt_report(&core, now, row));
     near.map(|row| row.workspace).collect()
 }
 
@@ -206,7 +206,7 @@
 /// Encodes and authenticates a datagram; `None` when that fails, which is logged.
 pub fn seal(node: &Node, datagram: &Datagram) -> Option<Vec<u8>> {
     match node.key.seal(datagram) {
-        Ok(sealed) if sealed.len() <= DATAGRAM_BYTES => return Some(sealed),
+        Ok(sealed) if sealed.len() <= DATAGRAM_BYTES_MAX => return Some(sealed),
         Ok(sealed) => log::error!(bytes = sealed.len(); "datagram too long"),
         Err(error) => log::error!(error:% = error; "a datagram can't be encoded"),
     }
@@ -219,7 +219,7 @@
     let core = node.core.borrow();
     let rows = &core.online.endpoints.rows;
     rows.iter()
-        .any(|row| row.may_queue(now) && core.usage.of(row.id).batch > 0)
+        .any(|row| row.may_queue(now) && core.usage.total(row.id).batch > 0)
 }
 
 /// The state of this VM for the other VMs.
@@ -227,7 +227,7 @@
     let core = node.core.borrow();
     let now = clock::now();
     let short = |count: u32| count.min(u32::from(u16::MAX)) as u16;
-    let placed = core.items.placed(now);
+    let placed = core.items.by_endpoint(now);
     let row = |row: &Endpoint| {
         let here = placed.get(&row.id).copied().unwrap_or_default();
         EndpointUseRow {
@@ -247,12 +247,12 @@
         owner: node.owner,
         sequence,
         draining: core.stage == Stage::Draining,
-        store: node.store_answers.get(),
+        store_available: node.store_answers.get(),
         rules: core.rules_version(),
         endpoints: core.discovery.revision,
-        proofs: core.proofs.own_confirmation_ages(now),
+        confirmation_ages: core.freshness.own_confirmation_ages(now),
         jobs: core.jobs.revision,
-        waiting: core.items.waiting() as u32,
+        waiting: core.items.waiting_count() as u32,
         backlog: backlog(&core, node.owner),
         peer_port: node.settings.peer_address.port(),
         rows: rows
@@ -268,9 +268,9 @@
     let routes = core.routes.iter().flat_map(|table| &table.rules.routes);
     let limited = routes.filter(|route| route.waiting_tokens_max.is_some());
     let tokens_of = |key: RouteKey| {
-        let own = core.jobs.open_tokens_of(key, |id| id == owner);
+        let own = core.jobs.open_tokens_of_owners(key, |id| id == owner);
         let known = |job: &JobId| core.jobs.rows.contains_key(job);
-        (key, own + core.backlog.being_written(key, known))
+        (key, own + core.backlog.tokens_being_written(key, known))
     };
     let keys = limited.flat_map(|route: &Route| {
         let with_jobs = core.jobs.route_keys(&route.name).into_iter();
@@ -285,8 +285,8 @@
 }
 
 /// Receives datagrams until the process ends.
-pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
-    let mut buffer = [0; DATAGRAM_BYTES];
+pub async fn receive_datagrams(node: Rc<Node>, socket: Rc<UdpSocket>) {
+    let mut buffer = [0; DATAGRAM_BYTES_MAX];
     loop {
         let (length, from) = match socket.recv_from(&mut buffer).await {
             Ok(received) => received,
@@ -299,13 +299,15 @@
         match node.key.open::<Datagram>(&buffer[..length]) {
             Ok(Datagram::Heartbeat(heartbeat)) => {
                 if apply_heartbeat(&node, from, heartbeat) {
-                    quarantine::tell_held(&node, &socket, from);
+                    quarantine::report_held(&node, &socket, from);
                 }
             }
             Ok(Datagram::Summary(summary)) => {
                 delegate::apply_summary(&node, &socket, summary, &buffer[..length]);
             }
-            Ok(Datagram::Quarantine(reports)) => quarantine::heard(&node, &socket, &reports),
+            Ok(Datagram::Quarantine(reports)) => {
+                quarantine::apply_reports(&node, &socket, &reports)
+            }
             Err(error) => log::warn!(from:% = from, error:% = error; "datagram rejected"),
         }
     }
@@ -325,13 +327,13 @@
         return false;
     }
     if let Some(before) = before.filter(|owner| *owner != heartbeat.owner) {
-        core.quotas.replaced(before);
+        core.quotas.process_replaced(before);
     }
     let theirs = KnownVersions {
         rules: heartbeat.rules,
         endpoints: heartbeat.endpoints,
     };
-    core.take_proofs(now, heartbeat.proofs, theirs);
+    core.apply_confirmation_ages(now, heartbeat.confirmation_ages, theirs);
     let source = CountSource::Process(heartbeat.owner);
     core.quotas.apply_report(
         now,
@@ -346,13 +348,13 @@
     let endpoints = &mut core.online.endpoints;
     let yields = core
         .items
-        .note_uses_at(now, endpoints, &core.usage, &touched);
+        .update_usage_at(now, endpoints, &core.usage, &touched);
     let crowded = |id: &EndpointId| {
         let row = endpoints.get(*id);
         row.is_some_and(|row| row.batch > 0 && row.may_queue(now))
     };
     if core.peers.is_delegate(node.vm) && touched.iter().any(crowded) {
-        node.tell_pressed.notify_one();
+        node.excess_reported.notify_one();
     }
     drop(guard);
     if yields {
@@ -375,7 +377,7 @@
 ///
 /// Without this, a VM that the store refuses, or whose watch has gone silent, serves its callers by
 /// an old configuration for as long as that lasts.
-pub async fn fetch(node: Rc<Node>) {
+pub async fn fetch_newer_versions(node: Rc<Node>) {
     let mut unanswered = Unanswered::new();
     loop {
         sleep(FETCH_AFTER).await;
@@ -421,7 +423,7 @@
     let fetched = fetch_from::<Rules>(node, from, RULES_PATH).await;
     let answered = fetched.is_some();
     if let Some(rules) = fetched {
-        node.take_rules(rules, "peer");
+        node.apply_rules(rules, "peer");
     }
     answered
 }
@@ -445,7 +447,7 @@
             SnapshotSource::Peer,
         )
     };
-    node.endpoints_told("peer", changed);
+    node.endpoints_reported("peer", changed);
     true
 }
 
@@ -475,7 +477,7 @@
 }
 
 /// Answers a request of another VM for the configuration, the endpoints or a part of a job.
-pub fn answer(node: &Node, path: &str) -> Reply {
+pub fn answer_fetch(node: &Node, path: &str) -> Reply {
     let core = node.core.borrow();
     let key = &node.key;
     let sealed = match path {
--- a/src/serve/pool.rs
+++ b/src/serve/pool.rs
@@ -42,7 +42,7 @@
     NotSent { detail: String },
     /// The host refused the connection: no process listens at the address.
     #[snafu(display("not sent: {detail}"))]
-    TurnedAway { detail: String },
+    Refused { detail: String },
     /// The endpoint may have received the request.
     #[snafu(display("no answer: {detail}"))]
     NoAnswer { detail: String },
@@ -54,7 +54,7 @@
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
     /// No request was sent on it before, so no stray answer can arrive.
-    pub fresh: bool,
+    pub unused: bool,
 }
 
 impl Drop for Connection {
@@ -89,7 +89,7 @@
         Ok(Connection {
             sender,
             task: task.abort_handle(),
-            fresh: true,
+            unused: true,
         })
     }
 
@@ -99,7 +99,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, Error> {
         let sent = self.sender.try_send_request(request).await;
-        self.fresh = false;
+        self.unused = false;
         sent.map_err(|mut error| {
             let detail = error.error().to_string();
             match error.take_message() {
@@ -122,14 +122,14 @@
 fn connect_error(error: std::io::Error) -> Error {
     let detail = error.to_string();
     match error.kind() {
-        ErrorKind::ConnectionRefused => Error::TurnedAway { detail },
+        ErrorKind::ConnectionRefused => Error::Refused { detail },
         _ => Error::NotSent { detail },
     }
 }
 
 /// Whether the host of an address reports that no process serves there: it refuses a connection, or
 /// closes it at once, as a proxy in front of a process does.
-pub async fn turns_away(address: &str) -> bool {
+pub async fn refuses_connections(address: &str) -> bool {
     let connect = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let mut stream = match connect {
         Ok(Ok(stream)) => stream,
@@ -162,7 +162,7 @@
 
     /// Keeps a connection whose answer was read to its end. `keep_alive` is the endpoint's idle
     /// timeout.
-    pub fn give(&self, endpoint: EndpointId, connection: Connection, keep_alive: Option<Duration>) {
+    pub fn put(&self, endpoint: EndpointId, connection: Connection, keep_alive: Option<Duration>) {
         let lifetime = keep_alive.map_or(IDLE_TIMEOUT_DEFAULT, |timeout| {
             timeout.mul_f64(IDLE_TIMEOUT_SHARE)
         });
--- a/src/serve/quarantine.rs
+++ b/src/serve/quarantine.rs
@@ -3,7 +3,7 @@
 //! decisions are made in [`crate::decide::quarantine`].
 
 mod records;
-mod telling;
+mod reporting;
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use serde::Serialize;
 
 pub use self::records::keep_records;
-pub use self::telling::{heard, speak, tell_held};
+pub use self::reporting::{apply_reports, report_held, send_reports};
 use super::exchange::{Outgoing, Target};
 use super::jobs::encode;
 use super::node::{Core, Node};
@@ -33,15 +33,15 @@
 
 /// Which VM may execute the trial runs of a quarantined request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trial {
+pub enum TrialScope {
     /// The request is sent by this VM only, as an item is by its job's owner.
-    Here,
+    ThisVm,
     /// The request may arrive at any VM: the one that ranks first, the same for all VMs.
-    OneOfAll,
+    FirstRankedVm,
 }
 
 /// A run that lost its connection.
-pub struct Run<'a> {
+pub struct FailedRun<'a> {
     pub out: &'a Outgoing,
     pub target: &'a Target,
     pub ran: Duration,
@@ -57,7 +57,7 @@
 
 /// Whether a request may be sent to an endpoint now; else the time after which its caller may
 /// retry.
-pub fn admit(node: &Node, out: &Outgoing, trial: Trial) -> Result<(), Duration> {
+pub fn admit(node: &Node, out: &Outgoing, trial: TrialScope) -> Result<(), Duration> {
     if node.core.borrow().quarantine.is_empty() {
         return Ok(());
     }
@@ -72,19 +72,19 @@
                 .rank(clock::now(), node.vm, fingerprint.rendezvous_key())
                 == 0
         };
-        let runs_trial = trial == Trial::Here || first();
+        let runs_trial = trial == TrialScope::ThisVm || first();
         core.quarantine
             .admit(quarantine_now(), fingerprint, runs_trial)
     };
     publish_changes(node);
     admitted.map_err(|retry_after| {
-        node.counters.held_back.inc();
+        node.counters.quarantine_refusals.inc();
         retry_after.max(RETRY_AFTER_MIN)
     })
 }
 
 /// Records that a request got a complete answer.
-pub fn answered(node: &Node, out: &Outgoing) {
+pub fn request_answered(node: &Node, out: &Outgoing) {
     let long = out.body.len() > HASHED_BODY_BYTES_MAX;
     if long && node.core.borrow().quarantine.is_empty() {
         return;
@@ -107,7 +107,7 @@
 /// cut link, a frozen endpoint or one without power shows no reset at all. Only a host whose
 /// process is gone refuses connections. An endpoint that does not refuse them but has ended is
 /// detected when its entry lapses.
-pub async fn lost(node: &Node, run: Run<'_>) -> bool {
+pub async fn run_lost(node: &Node, run: FailedRun<'_>) -> bool {
     let endpoint = run.target.endpoint;
     let lost = LostRun {
         fingerprint: run.out.fingerprint(),
@@ -126,12 +126,12 @@
         node.core
             .borrow_mut()
             .quarantine
-            .run_lost(quarantine_now(), lost);
+            .run_lost(quarantine_now(), run_lost);
     }
-    let ended = pool::turns_away(&run.target.address).await;
+    let ended = pool::refuses_connections(&run.target.address).await;
     log::info!(endpoint = run.target.instance, ended, stays; "a run lost its connection");
     if ended {
-        node.counters.ends.inc();
+        node.counters.runs_ended.inc();
         endpoint_ended(node, endpoint);
     }
     publish_changes(node);
@@ -152,7 +152,7 @@
     let changes = {
         let mut core = node.core.borrow_mut();
         let held = core.quarantine.held_count();
-        node.counters.held.set(held as f64);
+        node.counters.quarantined.set(held as f64);
         core.quarantine.take_changes()
     };
     if changes.is_empty() {
@@ -161,13 +161,13 @@
     for change in &changes {
         log_change(node, change);
     }
-    node.tell_quarantine.notify_one();
+    node.quarantine_reports_due.notify_one();
 }
 
 fn log_change(node: &Node, change: &QuarantineChange) {
     let verdict: &'static str = change.verdict.into();
     let by: &'static str = change.by.into();
-    let counter = &node.counters.quarantine;
+    let counter = &node.counters.quarantine_verdicts;
     counter.with_label_values(&[verdict, by]).inc();
     log::info!(
         asked:% = change.fingerprint,
@@ -192,15 +192,15 @@
 }
 
 /// The operators' page of suspected and quarantined requests.
-pub fn page(node: &Node) -> Bytes {
+pub fn operators_page(node: &Node) -> Bytes {
     encode(&OperatorsPage {
         vm: &node.settings.name,
-        requests: listed(&node.core.borrow()),
+        requests: list(&node.core.borrow()),
     })
 }
 
 /// Suspected and quarantined requests.
-pub fn listed(core: &Core) -> Vec<QuarantineListing> {
+pub fn list(core: &Core) -> Vec<QuarantineListing> {
     core.quarantine.list(quarantine_now())
 }
 
--- a/src/serve/quarantine/telling.rs
+++ b/src/serve/quarantine/reporting.rs
@@ -27,7 +27,7 @@
 const RECENT_CHANGE_WINDOW: Duration = Duration::from_secs(4);
 
 /// Reports changes to the other VMs until the process ends.
-pub async fn speak(node: Rc<Node>, socket: Rc<UdpSocket>) {
+pub async fn send_reports(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut repeated: Vec<Fingerprint> = Vec::new();
     loop {
         let pause = if repeated.is_empty() {
@@ -35,7 +35,7 @@
         } else {
             REPORT_INTERVAL
         };
-        let changed = timeout(pause, node.tell_quarantine.notified())
+        let changed = timeout(pause, node.quarantine_reports_due.notified())
             .await
             .is_ok();
         let unreported = node.core.borrow_mut().quarantine.take_unreported();
@@ -86,7 +86,7 @@
     }
     let known = node.core.borrow().peers.all_addresses();
     if let Some(to) = known.choose(&mut util::rng()) {
-        tell_held(node, socket, *to);
+        report_held(node, socket, *to);
     }
     let moment = quarantine_now().saturating_sub(RECENT_CHANGE_WINDOW);
     let recent = node.core.borrow().quarantine.changed_since(moment);
@@ -98,7 +98,7 @@
 /// Without this, a VM that restarts knows of none, and a request that is quarantined everywhere
 /// else would run there once more after each restart. The VMs that receive the new process's
 /// heartbeat send it this report before the load balancer routes callers there.
-pub fn tell_held(node: &Node, socket: &UdpSocket, to: SocketAddr) {
+pub fn report_held(node: &Node, socket: &UdpSocket, to: SocketAddr) {
     let mut held = node.core.borrow().quarantine.held_requests();
     held.truncate(REPORTS_PER_DATAGRAM_MAX);
     if !held.is_empty() {
@@ -129,7 +129,7 @@
 }
 
 /// Applies reports from another VM.
-pub fn heard(node: &Node, socket: &UdpSocket, reports: &[QuarantineReport]) {
+pub fn apply_reports(node: &Node, socket: &UdpSocket, reports: &[QuarantineReport]) {
     let mut new_reports = Vec::new();
     {
         let mut core = node.core.borrow_mut();
@@ -149,7 +149,7 @@
     }
     forward(node, socket, &new_reports);
     publish_changes(node);
-    node.tell_quarantine.notify_one();
+    node.quarantine_reports_due.notify_one();
 }
 
 /// A delegate forwards reports meant for all VMs, once: only those that were new to it.
--- a/src/serve/quotas.rs
+++ b/src/serve/quotas.rs
@@ -18,14 +18,14 @@
 
 /// A request that was counted: its workspace and the time.
 #[derive(Debug, Clone, Copy)]
-pub struct Counted {
+pub struct CountedRequest {
     workspace: WorkspaceKey,
     at: Duration,
 }
 
 /// Admits a request within the quota of its workspace, or returns the retry delay. `None` if there
 /// is no quota.
-pub fn admit(node: &Node, out: &Outgoing) -> Result<Option<Counted>, Duration> {
+pub fn admit(node: &Node, out: &Outgoing) -> Result<Option<CountedRequest>, Duration> {
     let Some((name, quota)) = quota_of_request(node, out) else {
         return Ok(None);
     };
@@ -36,13 +36,13 @@
         let draw = util::rng().random();
         core.quotas.admit(now, workspace, quota, draw)
     };
-    node.tell_peers.notify_one();
+    node.heartbeat_due.notify_one();
     let Err(after) = admitted else {
-        return Ok(Some(Counted { workspace, at: now }));
+        return Ok(Some(CountedRequest { workspace, at: now }));
     };
     let kind = RefusalKind::QuotaUsed;
     let reason: &'static str = kind.into();
-    node.counters.refused.with_label_values(&[reason]).inc();
+    node.counters.refusals.with_label_values(&[reason]).inc();
     let used = node.core.borrow().quotas.used(now, &name, workspace, quota);
     log::info!(
         request = out.id,
@@ -61,7 +61,7 @@
 }
 
 /// Uncounts a request that never ran.
-pub fn give_back(node: &Node, counted: Counted) {
+pub fn give_back(node: &Node, counted: CountedRequest) {
     let mut core = node.core.borrow_mut();
     core.quotas.give_back(counted.workspace, counted.at);
 }
@@ -85,7 +85,7 @@
 
 /// Whether a workspace with requests here is so near its quota that its counts must be reported
 /// promptly.
-pub fn is_pressed(core: &Core, now: Duration, count: &quota::WorkspaceCount) -> bool {
+pub fn needs_prompt_report(core: &Core, now: Duration, count: &quota::WorkspaceCount) -> bool {
     let quota = core
         .routes
         .as_ref()
@@ -98,7 +98,7 @@
 }
 
 /// Quota usage for operators, of each workspace with requests here.
-pub fn uses(core: &Core, now: Duration) -> Vec<QuotaUse> {
+pub fn usage(core: &Core, now: Duration) -> Vec<QuotaUse> {
     let Some(workspaces) = core
         .routes
         .as_ref()
--- a/src/serve/quotas/records.rs
+++ b/src/serve/quotas/records.rs
@@ -31,7 +31,7 @@
 const WRITING_VMS: usize = 2;
 
 /// Reads the records at the start, and writes them until the process ends.
-pub async fn keep(node: Rc<Node>) {
+pub async fn keep_records(node: Rc<Node>) {
     let mut read = false;
     let mut written: HashMap<WorkspaceKey, Duration> = HashMap::new();
     loop {
--- a/src/serve/proving.rs
+++ b/src/serve/refreshing.rs
@@ -48,7 +48,7 @@
     loop {
         tokio::select! {
             answer = &mut waiting => return answer.map(Some),
-            () = node.watch_again.notified() => return Ok(None),
+            () = node.restart_watches.notified() => return Ok(None),
             () = refresh_due(node, followed.subject) => {}
         }
         let refreshed_at = clock::now();
@@ -57,7 +57,7 @@
             answer = watch(node, followed, after, REFRESH_WAIT) => answer?,
         };
         if refresh.update.is_empty() {
-            node.proved(followed.subject, refreshed_at);
+            node.confirm(followed.subject, refreshed_at);
             continue;
         }
         // The watch may be about to deliver the same changes.
@@ -115,9 +115,9 @@
 /// Time until this VM has to ask the store again; `None` while others do.
 pub fn refresh_due_in(node: &Node, subject: StoreSubject) -> Option<Duration> {
     let now = clock::now();
-    let own = node.own();
+    let own = node.local_vm();
     let core = node.core.borrow();
     let rank = core.peers.refresh_rank(now, own);
     let refresh_after = freshness::refresh_after(subject, rank, core.peers.is_large())?;
-    Some(core.proofs.refresh_due_in(now, subject, refresh_after))
+    Some(core.freshness.refresh_due_in(now, subject, refresh_after))
 }
--- a/src/serve/relay.rs
+++ b/src/serve/relay.rs
@@ -28,7 +28,7 @@
 const CALL_BYTES_MAX: usize = 16 * 1024 * 1024;
 
 /// A store that makes its calls by way of another VM when `local_store` doesn't answer.
-pub fn relayed(local_store: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
+pub fn with_relay(local_store: Store, node: impl Fn() -> Option<Rc<Node>> + 'static) -> Store {
     let node = Rc::new(node);
     Store::new(move |call| {
         let (local_store, node) = (local_store.clone(), node.clone());
@@ -88,6 +88,6 @@
             return replies::empty(400);
         }
     };
-    let outcome: CallOutcome = node.own_store.call(call).await;
+    let outcome: CallOutcome = node.direct_store.call(call).await;
     reply(node.key.seal(&outcome))
 }
--- a/src/serve/replies.rs
+++ b/src/serve/replies.rs
@@ -49,7 +49,7 @@
 }
 
 /// A reply with a binary body.
-pub fn bytes(body: Bytes) -> Reply {
+pub fn binary(body: Bytes) -> Reply {
     let mut reply = empty(200);
     let octets = HeaderValue::from_static("application/octet-stream");
     reply.headers_mut().insert(CONTENT_TYPE, octets);
--- a/src/serve/results.rs
+++ b/src/serve/results.rs
@@ -9,14 +9,14 @@
 
 use super::ask::{ask, reply};
 use super::dialect::ResultRow;
-use super::jobs::{find_for_caller, reread, STORE_RETRY_AFTER};
+use super::jobs::{find_for_caller, read_from_store, STORE_RETRY_AFTER};
 use super::node::Node;
-use super::parts;
+use super::part_cache;
 use super::peers;
 use super::replies::{self, Reply};
 use crate::clock;
 use crate::decide::refusal::RefusalKind;
-use crate::decide::small_jobs::{self, Record};
+use crate::decide::small_jobs::{self, SmallJobRecord};
 use crate::id::{JobId, Name, OwnerId};
 
 /// Path under which the process that runs a job is asked for its results; job, position and wait
@@ -78,7 +78,7 @@
             log::info!(job = *job, after, listed, watched, told; "no new results within the wait");
             break record;
         }
-        match reread(&node, &job).await {
+        match read_from_store(&node, &job).await {
             Ok(record) => break record,
             Err(reply) => return reply,
         }
@@ -93,7 +93,7 @@
 /// Only a job's owner lists its results, so it always has all of them.
 async fn read_from_owner(
     node: &Rc<Node>,
-    record: &Record,
+    record: &SmallJobRecord,
     after: usize,
     until: Duration,
 ) -> Option<Reply> {
@@ -105,7 +105,7 @@
         Err(error) => {
             log::info!(job = *record.id, owner:% = owner, error:% = error; "a job's owner did not tell its results");
             // A VM that took the job over may have listed more.
-            let record = match reread(node, &record.id).await {
+            let record = match read_from_store(node, &record.id).await {
                 Ok(record) => record,
                 Err(reply) => return Some(reply),
             };
@@ -126,7 +126,7 @@
     let until = clock::now() + Duration::from_millis(wait_ms).min(READER_WAIT_MAX);
     let record = loop {
         let current = node.core.borrow().jobs.current(&job);
-        let is_local = |record: &Record| is_owner(node, record.owner, clock::now());
+        let is_local = |record: &SmallJobRecord| is_owner(node, record.owner, clock::now());
         let Some((record, _)) = current.filter(|(record, _)| is_local(record)) else {
             return replies::empty(404);
         };
@@ -207,15 +207,15 @@
     }
 }
 
-async fn results_page(node: &Rc<Node>, record: &Record, after: usize) -> Reply {
+async fn results_page(node: &Rc<Node>, record: &SmallJobRecord, after: usize) -> Reply {
     let mut rows = Vec::new();
     let mut bytes = 0;
     for position in after..record.listed.len() {
-        let Some((part, place)) = record.text_place(position) else {
+        let Some((part, place)) = record.text_location(position) else {
             break;
         };
         let key = small_jobs::text_key(&record.id, part);
-        let texts: Vec<String> = match parts::read(node, key, record.owner).await {
+        let texts: Vec<String> = match part_cache::read(node, key, record.owner).await {
             Ok(texts) => texts,
             Err(error) => {
                 log::warn!(job = *record.id, error:% = error; "results can't be read");
--- a/src/serve/runs.rs
+++ b/src/serve/runs.rs
@@ -18,13 +18,13 @@
 use self::claims::{claim_if_orphaned, forget_expired, remove_expired};
 use self::item::start;
 use self::listing::write_results;
-use super::admit;
-use super::node::{note_uses, Node, Stage};
-use super::why::Row;
+use super::job_admission;
+use super::node::{update_remote_uses, Node, Stage};
+use super::waiting_page::WaitingRow;
 use crate::clock;
 use crate::decide::items::{Action, ItemKey, ItemPlanner};
 use crate::decide::routes::Route;
-use crate::decide::small_jobs::{Finished, Item, ItemIndex, Outcome, Record};
+use crate::decide::small_jobs::{FinishedItem, Item, ItemIndex, ItemOutcome, SmallJobRecord};
 use crate::id::{self, ConfigVersion, Epoch, JobId, ServiceId};
 
 /// Time between two checks of all jobs.
@@ -61,7 +61,7 @@
     epoch: Epoch,
     items: Rc<Vec<Item>>,
     progress: HashMap<ItemIndex, ItemProgress>,
-    finished: Vec<Finished>,
+    finished: Vec<FinishedItem>,
     /// Failure counts have changed since the record was last written.
     failures_unwritten: bool,
     finished_at: Option<Duration>,
@@ -141,14 +141,16 @@
             continue;
         };
         match routes.find(&record.host, &item.path) {
-            Some(route) => core.items.moved(&key, pick_service(route, &item.id)),
+            Some(route) => core
+                .items
+                .service_changed(&key, pick_service(route, &item.id)),
             None => given_up.push(key),
         }
     }
     drop((guard, owned));
     for key in given_up {
         log::info!(job = *key.job, item = key.item; "item given up: no route matches");
-        finish(node, &key, Outcome::Errored);
+        finish(node, &key, ItemOutcome::Errored);
     }
 }
 
@@ -168,7 +170,7 @@
         if now >= checked_at + CHECK_INTERVAL {
             checked_at = now;
             check_jobs(&node, now);
-            admit::look(&node, now);
+            job_admission::note_waiting_tokens(&node, now);
         }
         plan(&node, now);
     }
@@ -179,12 +181,12 @@
     let actions = {
         let mut guard = node.core.borrow_mut();
         let core = &mut *guard;
-        note_uses(core);
+        update_remote_uses(core);
         let planner = ItemPlanner {
             vm: node.vm,
             domain: node.domain,
-            rivals: &core.peers.competing_vms(now, node.domain, node.vm),
-            starting: core.stage == Stage::Serving,
+            competing_vms: &core.peers.competing_vms(now, node.domain, node.vm),
+            may_start: core.stage == Stage::Serving,
         };
         let endpoints = &core.online.endpoints;
         core.items.plan(now, &planner, endpoints, &core.usage)
@@ -198,7 +200,7 @@
             Action::Stop { key } => stop(node, &key),
         }
     }
-    node.tell_peers.notify_one();
+    node.heartbeat_due.notify_one();
 }
 
 /// Stops a run; it ends within a few iterations of the event loop, and the item waits again.
@@ -221,7 +223,7 @@
 }
 
 /// Records an item's result, which waits for the next write.
-fn finish(node: &Node, key: &ItemKey, outcome: Outcome) {
+fn finish(node: &Node, key: &ItemKey, outcome: ItemOutcome) {
     node.core.borrow_mut().items.remove(key);
     let mut owned = node.runs.owned.borrow_mut();
     let Some(job) = owned.get_mut(&key.job) else {
@@ -231,10 +233,10 @@
         return;
     };
     let text = match outcome {
-        Outcome::Completed => progress.texts.join("\n"),
-        Outcome::Errored => String::new(),
+        ItemOutcome::Completed => progress.texts.join("\n"),
+        ItemOutcome::Errored => String::new(),
     };
-    job.finished.push(Finished {
+    job.finished.push(FinishedItem {
         item: key.item,
         outcome,
         text,
@@ -244,7 +246,7 @@
 
 /// Checks all jobs: adopts, claims, lists, hands over, forgets.
 fn check_jobs(node: &Rc<Node>, now: Duration) {
-    let records: Vec<Rc<Record>> = {
+    let records: Vec<Rc<SmallJobRecord>> = {
         let core = node.core.borrow();
         core.jobs
             .rows
@@ -298,7 +300,7 @@
     for key in late {
         log::info!(job = *key.job, item = key.item; "item given up: its retention has passed");
         node.runs.abort(&key);
-        finish(node, &key, Outcome::Errored);
+        finish(node, &key, ItemOutcome::Errored);
     }
 }
 
@@ -309,14 +311,14 @@
 }
 
 /// Items and results that wait in the jobs that run here, and jobs without an owner.
-pub fn waiting(node: &Node, now: Duration) -> Vec<Row> {
+pub fn waiting(node: &Node, now: Duration) -> Vec<WaitingRow> {
     let owned = node.runs.owned.borrow();
-    let mut rows: Vec<Row> = owned
+    let mut rows: Vec<WaitingRow> = owned
         .iter()
         .flat_map(|(id, job)| job.waiting(now, id))
         .collect();
     for (job, since) in node.runs.orphans.borrow().iter() {
-        rows.push(Row {
+        rows.push(WaitingRow {
             what: format!("job {job}"),
             waits_for: format!(
                 "a VM to take it over; its own was last seen {} ms ago",
@@ -329,14 +331,14 @@
 }
 
 impl OwnedJob {
-    fn waiting(&self, now: Duration, job: &JobId) -> Vec<Row> {
+    fn waiting(&self, now: Duration, job: &JobId) -> Vec<WaitingRow> {
         let until_ms = Some(self.due.saturating_sub(now).as_millis() as u64);
         let idle = self
             .progress
             .values()
             .filter(|item| item.run.is_none())
             .count();
-        let row = |count: usize, what: &str, waits_for: &str| Row {
+        let row = |count: usize, what: &str, waits_for: &str| WaitingRow {
             what: format!("{count} {what} of job {job}"),
             waits_for: waits_for.into(),
             until_ms,
--- a/src/serve/runs/claims.rs
+++ b/src/serve/runs/claims.rs
@@ -11,14 +11,14 @@
 use crate::clock;
 use crate::decide::items::ItemKey;
 use crate::decide::small_jobs::{
-    body_key, progress_key, record_key, text_key, Item, ItemIndex, Record,
+    body_key, progress_key, record_key, text_key, Item, ItemIndex, SmallJobRecord,
 };
 use crate::id::{self, JobId, OwnerId, Revision};
 use crate::serve::job_table::Job;
 use crate::serve::jobs;
 use crate::serve::node::{Node, Stage};
-use crate::serve::parts;
-use crate::store::{Settled, Txn};
+use crate::serve::part_cache;
+use crate::store::{CommitOutcome, Txn};
 use crate::util;
 
 /// The first VM by rank claims an orphaned job at once; each further rank waits this much longer,
@@ -61,18 +61,21 @@
     });
 }
 
-async fn load_items(node: &Rc<Node>, record: &Record) -> Result<Vec<Item>, parts::PartError> {
+async fn load_items(
+    node: &Rc<Node>,
+    record: &SmallJobRecord,
+) -> Result<Vec<Item>, part_cache::PartError> {
     let mut items = Vec::new();
     for part in 0..record.body_parts.len() {
         let key = body_key(&record.id, part as u32);
-        items.extend(parts::read::<Vec<Item>>(node, key, record.owner).await?);
+        items.extend(part_cache::read::<Vec<Item>>(node, key, record.owner).await?);
     }
     Ok(items)
 }
 
 fn add_job(
     node: &Rc<Node>,
-    record: &Record,
+    record: &SmallJobRecord,
     items: Vec<Item>,
     mut saved: HashMap<ItemIndex, SavedProgress>,
 ) {
@@ -116,7 +119,7 @@
         // `assign_services` below sets its service.
         core.items.add(now, key.clone(), 0, due);
         if let Some(ran) = ran.get(&item) {
-            core.items.resumed(&key, *ran);
+            core.items.set_run_time(&key, *ran);
         }
     }
     drop(core);
@@ -130,7 +133,7 @@
 
 /// Time until a job is due by the time of day, at most the time that it was given at first: a clock
 /// that jumped can only change the order of jobs.
-fn time_left(record: &Record) -> Duration {
+fn time_left(record: &SmallJobRecord) -> Duration {
     let all_ms = record.due_ms.saturating_sub(record.created_ms);
     let left_ms = record.due_ms.saturating_sub(clock::unix_ms());
     Duration::from_millis(left_ms.min(all_ms))
@@ -140,7 +143,7 @@
 pub(super) fn claim_if_orphaned(
     node: &Rc<Node>,
     now: Duration,
-    record: &Record,
+    record: &SmallJobRecord,
     living: &HashSet<OwnerId>,
 ) {
     let mut orphans = node.runs.orphans.borrow_mut();
@@ -173,10 +176,10 @@
     let node = node.clone();
     tokio::task::spawn_local(async move {
         let settled = jobs::replace_record(&node, &claim, revision).await;
-        let won = matches!(settled, Settled::Won(_));
+        let won = matches!(settled, CommitOutcome::Won(_));
         log::info!(job = *claim.id, epoch = claim.epoch, rank, won; "job claimed");
         let label = if won { "claimed" } else { "claim_lost" };
-        node.counters.jobs.with_label_values(&[label]).inc();
+        node.counters.jobs_taken.with_label_values(&[label]).inc();
         adopt(&node, &claim.id);
     });
 }
@@ -214,7 +217,7 @@
 }
 
 /// Removes a job's keys, the record last, so that what is left after a failure is found again.
-async fn remove_job(node: &Rc<Node>, record: &Record, revision: Revision) {
+async fn remove_job(node: &Rc<Node>, record: &SmallJobRecord, revision: Revision) {
     let bodies = (0..record.body_parts.len() as u32).map(|part| body_key(&record.id, part));
     let texts = (0..record.text_parts).map(|part| text_key(&record.id, part));
     let keys: Vec<String> = bodies.chain(texts).collect();
--- a/src/serve/runs/item.rs
+++ b/src/serve/runs/item.rs
@@ -15,14 +15,14 @@
 use crate::clock;
 use crate::decide::items::ItemKey;
 use crate::decide::quarantine::Fingerprint;
-use crate::decide::retry::{AttemptStage, TRIES_MAX};
-use crate::decide::small_jobs::{Item, Outcome};
+use crate::decide::retry::{AttemptStage, ATTEMPTS_MAX_DEFAULT};
+use crate::decide::small_jobs::{Item, ItemOutcome};
 use crate::id::EndpointId;
+use crate::serve::cancellation::unless_stopped;
 use crate::serve::events::{check_next, Splitter};
 use crate::serve::exchange::{self, Failure, Outgoing, Target};
 use crate::serve::node::Node;
-use crate::serve::quarantine::{self, Trial};
-use crate::serve::stopping::unless_stopped;
+use crate::serve::quarantine::{self, TrialScope};
 
 /// Timeout for the answer and for each event. An item is started only where a slot is free, so its
 /// first event comes soon; engines slowed many times over still send one within this time.
@@ -89,7 +89,7 @@
     };
     let target = node.target(endpoint);
     let ended = match (&end, &out, &target) {
-        (RunEnd::Failed(failure), Some(out), Some(target)) if failure.lost => {
+        (RunEnd::Failed(failure), Some(out), Some(target)) if failure.connection_lost => {
             report_lost(&node, &key, out, target, start).await
         }
         _ => false,
@@ -122,17 +122,17 @@
     match end {
         RunEnd::Complete => {
             if let Some(out) = &out {
-                quarantine::answered(&node, out);
+                quarantine::request_answered(&node, out);
             }
             node.core.borrow_mut().items.completed(now, &key);
-            finish(&node, &key, Outcome::Completed);
+            finish(&node, &key, ItemOutcome::Completed);
         }
-        RunEnd::Rejected => finish(&node, &key, Outcome::Errored),
+        RunEnd::Rejected => finish(&node, &key, ItemOutcome::Errored),
         RunEnd::ItemFailed => item_failed(&node, &key, now),
         RunEnd::Yielded => node.core.borrow_mut().items.paused(now, &key, false),
         RunEnd::Quarantined(back_in) => {
             let mut core = node.core.borrow_mut();
-            core.items.held_back(now, &key, back_in);
+            core.items.quarantined(now, &key, back_in);
         }
         RunEnd::Failed(failure) => {
             let mut core = node.core.borrow_mut();
@@ -140,9 +140,9 @@
                 .online
                 .endpoints
                 .get_mut(endpoint)
-                .filter(|_| failure.blame)
+                .filter(|_| failure.endpoint_at_fault)
             {
-                match failure.reach {
+                match failure.stage {
                     AttemptStage::NotSent => row.unreachable(now),
                     _ => row.failed(now),
                 }
@@ -151,7 +151,7 @@
         }
     }
     node.plan_items.notify_one();
-    node.tell_peers.notify_one();
+    node.heartbeat_due.notify_one();
 }
 
 /// Counts a failure that the endpoint reported; after the route's maximum the item is given up.
@@ -171,7 +171,7 @@
         progress.failures
     };
     if failures >= attempts_max {
-        finish(node, key, Outcome::Errored);
+        finish(node, key, ItemOutcome::Errored);
         return;
     }
     node.core.borrow_mut().items.paused(now, key, true);
@@ -187,7 +187,7 @@
     let route = core.routes.as_ref().zip(host).zip(item);
     route
         .and_then(|((routes, host), item)| routes.find(&host, &item.path))
-        .map_or(TRIES_MAX, |route| route.attempts_max)
+        .map_or(ATTEMPTS_MAX_DEFAULT, |route| route.attempts_max)
 }
 
 /// Sends an item and reads its events. Each whole event is kept at once, so that a run that is
@@ -198,12 +198,12 @@
     endpoint: EndpointId,
     out: &Outgoing,
 ) -> RunEnd {
-    let failed = |reach, detail: &str| RunEnd::Failed(Failure::blamed(reach, detail));
+    let failed = |reach, detail: &str| RunEnd::Failed(Failure::of_endpoint(reach, detail));
     let Some(target) = node.target(endpoint) else {
-        let gone = Failure::unblamed(AttemptStage::NotSent, "the endpoint is gone");
+        let gone = Failure::not_of_endpoint(AttemptStage::NotSent, "the endpoint is gone");
         return RunEnd::Failed(gone);
     };
-    if let Err(back_in) = quarantine::admit(node, out, Trial::Here) {
+    if let Err(back_in) = quarantine::admit(node, out, TrialScope::ThisVm) {
         return RunEnd::Quarantined(back_in);
     }
     let sent = exchange::send(node, &target, out, None, last_event(node, key));
@@ -213,7 +213,7 @@
         Err(_) => return failed(AttemptStage::MaybeSent, "no answer in time"),
     };
     match answer.head.status {
-        StatusCode::OK if answer.said.signed => {}
+        StatusCode::OK if answer.decoded.signed => {}
         StatusCode::UNPROCESSABLE_ENTITY => return RunEnd::Rejected,
         StatusCode::INTERNAL_SERVER_ERROR => return RunEnd::ItemFailed,
         status => return failed(AttemptStage::MaybeSent, &format!("answered {status}")),
@@ -221,7 +221,7 @@
     let keep_alive = exchange::keep_alive(&answer.head);
     let read = read_events(node, key, endpoint, answer.body).await;
     if let (RunEnd::Complete, Some(keep_alive)) = (&read, keep_alive) {
-        node.pool.give(endpoint, answer.connection, keep_alive);
+        node.pool.put(endpoint, answer.connection, keep_alive);
     }
     read
 }
@@ -232,8 +232,10 @@
     endpoint: EndpointId,
     mut body: Incoming,
 ) -> RunEnd {
-    let broken = |detail: String| RunEnd::Failed(Failure::blamed(AttemptStage::Answering, detail));
-    let lost = |detail: String| RunEnd::Failed(Failure::lost(AttemptStage::Answering, detail));
+    let broken =
+        |detail: String| RunEnd::Failed(Failure::of_endpoint(AttemptStage::Answering, detail));
+    let lost =
+        |detail: String| RunEnd::Failed(Failure::of_connection(AttemptStage::Answering, detail));
     let mut splitter = Splitter::default();
     loop {
         let frame = match timeout(EVENT_TIMEOUT, body.frame()).await {
@@ -242,7 +244,7 @@
         };
         match frame {
             Some(Ok(frame)) => {
-                node.heard(endpoint);
+                node.note_endpoint_data(endpoint);
                 let Ok(data) = frame.into_data() else {
                     continue;
                 };
@@ -251,12 +253,14 @@
                         return broken(detail);
                     }
                 }
-                if splitter.overlong() {
+                if splitter.is_too_long() {
                     return broken("an event is too long".into());
                 }
             }
             Some(Err(error)) => return lost(format!("the stream broke off: {error}")),
-            None if splitter.partial() => return lost("the stream ended within an event".into()),
+            None if splitter.has_partial() => {
+                return lost("the stream ended within an event".into())
+            }
             None => return RunEnd::Complete,
         }
     }
@@ -299,18 +303,18 @@
     target: &Target,
     start: RunStart,
 ) -> bool {
-    let run = quarantine::Run {
+    let run = quarantine::FailedRun {
         out,
         target,
         ran: clock::now().saturating_sub(start.at),
         progressed: last_event(node, key) > start.last_event,
     };
-    quarantine::lost(node, run).await
+    quarantine::run_lost(node, run).await
 }
 
 /// Fingerprint of an item whose run lost its connection.
 fn lost_fingerprint(out: Option<&Outgoing>, end: &RunEnd) -> Option<Fingerprint> {
-    let lost = matches!(end, RunEnd::Failed(failure) if failure.lost);
+    let lost = matches!(end, RunEnd::Failed(failure) if failure.connection_lost);
     out.filter(|_| lost).map(Outgoing::fingerprint)
 }
 
@@ -323,11 +327,11 @@
         let name: HeaderName = name.parse().ok()?;
         headers.append(name, HeaderValue::from_str(value).ok()?);
     }
-    let mut headers = exchange::end_to_end(&headers);
+    let mut headers = exchange::end_to_end_headers(&headers);
     if record.workspace.is_some() {
         headers.remove(AUTHORIZATION);
     }
-    let id_header: HeaderName = node.dialect.id_header.parse().ok()?;
+    let id_header: HeaderName = node.dialect.attempt_id_header.parse().ok()?;
     headers.insert(id_header, HeaderValue::from_str(&item.id).ok()?);
     headers.insert(HOST, HeaderValue::from_str(&record.host).ok()?);
     Some(Outgoing {
--- a/src/serve/runs/listing.rs
+++ b/src/serve/runs/listing.rs
@@ -5,11 +5,11 @@
 
 use super::{forget, progress, WRITE_RETRY_AFTER};
 use crate::clock;
-use crate::decide::small_jobs::{text_key, Finished, ItemIndex, Listing, Record};
+use crate::decide::small_jobs::{text_key, FinishedItem, ItemIndex, ListUpdate, SmallJobRecord};
 use crate::id::{self, JobId, Revision};
 use crate::serve::jobs::{self, encode, write};
 use crate::serve::node::Node;
-use crate::store::Settled;
+use crate::store::CommitOutcome;
 use crate::util;
 
 /// Results that finish within this time are listed by one write; readers ask twice a second.
@@ -71,7 +71,7 @@
     let Some(listing) = listing else {
         // All of them are listed, or the job belongs to another VM by now, which the next check
         // finds out.
-        let listed = |result: &Finished| !record.is_listed(result.item);
+        let listed = |result: &FinishedItem| !record.is_listed(result.item);
         owned.finished.retain(listed);
         owned.failures_unwritten = false;
         owned.finished_at = None;
@@ -83,21 +83,21 @@
     tokio::task::spawn_local(write_listing(node.clone(), listing, revision));
 }
 
-async fn write_listing(node: Rc<Node>, listing: Listing, revision: Revision) {
+async fn write_listing(node: Rc<Node>, listing: ListUpdate, revision: Revision) {
     let record = &listing.record;
     let parts = listing.parts.iter();
     let writes: Vec<_> = parts
         .map(|(part, texts)| write(text_key(&record.id, *part), encode(texts)))
         .collect();
     let settled = jobs::replace_record_with_parts(&node, record, revision, writes).await;
-    let won = matches!(settled, Settled::Won(_));
+    let won = matches!(settled, CommitOutcome::Won(_));
     let (listed, total) = (record.listed.len(), record.items.len());
     log::info!(job = *record.id, won, listed, total; "results listed");
     note_write(&node, record, &settled);
 }
 
 /// Updates the job's state by the outcome of a write of its record.
-fn note_write(node: &Node, record: &Record, settled: &Settled) {
+fn note_write(node: &Node, record: &SmallJobRecord, settled: &CommitOutcome) {
     let now = clock::now();
     let mut guard = node.runs.owned.borrow_mut();
     let Some(owned) = guard.get_mut(&record.id) else {
@@ -105,7 +105,7 @@
     };
     owned.writing = false;
     match settled {
-        Settled::Won(_) => {
+        CommitOutcome::Won(_) => {
             owned
                 .finished
                 .retain(|result| !record.is_listed(result.item));
@@ -115,8 +115,8 @@
             }
         }
         // Another writer came first: list again, on top of its record.
-        Settled::Lost(_) => owned.failures_unwritten = true,
-        Settled::Away(_) | Settled::Unknown(_) => {
+        CommitOutcome::Lost(_) => owned.failures_unwritten = true,
+        CommitOutcome::Away(_) | CommitOutcome::Unknown(_) => {
             owned.failures_unwritten = true;
             owned.write_after = now + WRITE_RETRY_AFTER;
         }
@@ -124,7 +124,7 @@
 }
 
 /// Hands a job over to another VM, with the progress of its items.
-async fn hand_over(node: Rc<Node>, record: Rc<Record>, revision: Revision) {
+async fn hand_over(node: Rc<Node>, record: Rc<SmallJobRecord>, revision: Revision) {
     let now = clock::now();
     let to = node
         .core
@@ -137,7 +137,7 @@
     };
     progress::save_last(&node, now, &record, revision).await;
     let settled = jobs::replace_record(&node, &handed_over, revision).await;
-    let won = matches!(settled, Settled::Won(_));
+    let won = matches!(settled, CommitOutcome::Won(_));
     log::info!(job = *handed_over.id, to, won, open = handed_over.open_items().len(); "job handed over");
     if won {
         forget(&node, &handed_over.id);
--- a/src/serve/runs/progress.rs
+++ b/src/serve/runs/progress.rs
@@ -15,7 +15,9 @@
 
 use super::{ItemProgress, OwnedJob};
 use crate::decide::items::{ItemKey, Items};
-use crate::decide::small_jobs::{progress_key, record_key, ItemIndex, Record, PART_BYTES_MAX};
+use crate::decide::small_jobs::{
+    progress_key, record_key, ItemIndex, SmallJobRecord, PART_BYTES_MAX,
+};
 use crate::id::{JobId, Revision};
 use crate::serve::jobs::{encode, write};
 use crate::serve::node::Node;
@@ -38,7 +40,13 @@
 }
 
 /// Saves the progress of a job's items, if it is time.
-pub(super) fn save(node: &Rc<Node>, now: Duration, job: &JobId, record: &Record, at: Revision) {
+pub(super) fn save(
+    node: &Rc<Node>,
+    now: Duration,
+    job: &JobId,
+    record: &SmallJobRecord,
+    at: Revision,
+) {
     let saved = {
         let mut guard = node.runs.owned.borrow_mut();
         let Some(owned) = guard.get_mut(job) else {
@@ -67,7 +75,7 @@
 }
 
 /// Saves the progress of a job's items before the job is handed over.
-pub(super) async fn save_last(node: &Node, now: Duration, record: &Record, at: Revision) {
+pub(super) async fn save_last(node: &Node, now: Duration, record: &SmallJobRecord, at: Revision) {
     let saved = {
         let owned = node.runs.owned.borrow();
         let core = node.core.borrow();
@@ -86,7 +94,7 @@
 
 /// A write that takes effect only while the job's record is unchanged, and so while this process
 /// owns the job.
-fn guarded_txn(record: &Record, at: Revision, write: Write) -> Txn {
+fn guarded_txn(record: &SmallJobRecord, at: Revision, write: Write) -> Txn {
     Txn {
         expect: vec![(record_key(&record.id), at)],
         writes: vec![write],
@@ -105,7 +113,7 @@
             item: *item,
             last_event: progress.last_event?,
             text: progress.texts.join("\n"),
-            ran_ms: items.ran(now, &key).as_millis() as u64,
+            ran_ms: items.run_time(now, &key).as_millis() as u64,
         })
     };
     owned.progress.iter().filter_map(to_saved).collect()
@@ -120,7 +128,10 @@
 }
 
 /// Reads the progress of a claimed job's items, as its former owner saved it.
-pub(super) async fn read(node: &Node, record: &Record) -> HashMap<ItemIndex, SavedProgress> {
+pub(super) async fn read(
+    node: &Node,
+    record: &SmallJobRecord,
+) -> HashMap<ItemIndex, SavedProgress> {
     if record.epoch <= 1 {
         return HashMap::new();
     }
--- a/src/serve/stop.rs
+++ b/src/serve/stop.rs
@@ -62,7 +62,7 @@
     node.core.borrow_mut().stage = Stage::Draining;
     log::info!(requests = node.open_requests.get(); "stop: draining");
     node.plan_items.notify_one();
-    node.tell_peers.notify_one();
+    node.heartbeat_due.notify_one();
     let drain_time = Duration::from_millis(node.settings.drain_ms);
     let limit = Duration::from_millis(node.settings.stop_limit_ms).saturating_sub(EXIT_TIME);
     sleep(drain_time.min(limit)).await;
--- a/src/serve/why.rs
+++ b/src/serve/waiting_page.rs
@@ -11,7 +11,7 @@
 
 /// One waiting request, item or process state.
 #[derive(Debug, Serialize)]
-pub struct Row {
+pub struct WaitingRow {
     pub what: String,
     pub waits_for: String,
     /// Milliseconds until it is given up or too late; absent if it waits indefinitely.
@@ -21,7 +21,7 @@
 #[derive(Serialize)]
 struct WaitingPage<'a> {
     vm: &'a str,
-    waiting: Vec<Row>,
+    waiting: Vec<WaitingRow>,
 }
 
 /// The page of everything that waits at this process.
@@ -36,7 +36,7 @@
 }
 
 /// Conditions that keep the process itself from serving.
-fn process_rows(node: &Node) -> Vec<Row> {
+fn process_rows(node: &Node) -> Vec<WaitingRow> {
     let core = node.core.borrow();
     let missing = [
         (core.routes.is_none(), "the first rules"),
@@ -45,7 +45,7 @@
         (core.stage == Stage::Draining, "its last requests to end"),
     ];
     let missing = missing.into_iter().filter(|(missing, _)| *missing);
-    let row = |waits_for: &str| Row {
+    let row = |waits_for: &str| WaitingRow {
         what: "the process".into(),
         waits_for: waits_for.into(),
         until_ms: None,
@@ -53,14 +53,14 @@
     missing.map(|(_, waits_for)| row(waits_for)).collect()
 }
 
-fn online_rows(node: &Node) -> Vec<Row> {
+fn online_rows(node: &Node) -> Vec<WaitingRow> {
     let now = clock::now();
     let core = node.core.borrow();
     let queued = core.online.waiting(now).into_iter();
     let queued = queued.filter(|waiting| waiting.queued > 0);
     let goal = |waiting: &ServiceQueue| core.online.services.get(&waiting.service);
     queued
-        .map(|waiting| Row {
+        .map(|waiting| WaitingRow {
             what: format!("{} online requests", waiting.queued),
             waits_for: format!(
                 "a slot at an endpoint; {} run from here, a slot comes in about {} ms",
--- a/src/serve/watch.rs
+++ b/src/serve/watch.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 use super::node::{Core, Node};
-use super::proving::{ask_store, refresh_due_in};
+use super::refreshing::{ask_store, refresh_due_in};
 use super::retire::retire;
 use crate::clock;
 use crate::decide::discovery::{KnownEntry, SnapshotSource};
@@ -135,7 +135,7 @@
                 at = Some(answer.at);
                 // Only now does this VM have all that the answer confirms.
                 if let Some(asked_at) = answer.asked_at {
-                    node.proved(subject, asked_at);
+                    node.confirm(subject, asked_at);
                 }
                 if !is_empty {
                     sleep(interval(&node)).await;
@@ -165,7 +165,7 @@
 /// Without this, each of 250 VMs has a watch of its own, and the replacement of one endpoint takes
 /// a thousand calls, which are priced and rate-limited. Delegates alone make a twentieth of them.
 fn is_updated_by_delegate(node: &Node, subject: StoreSubject) -> bool {
-    let own = node.own();
+    let own = node.local_vm();
     is_starting(node) || {
         let core = node.core.borrow();
         is_loaded(&core)
@@ -182,7 +182,7 @@
 
 /// Whether the fleet has just started, and the delegates of this VM have not been heard yet.
 pub fn is_starting(node: &Node) -> bool {
-    let own = node.own();
+    let own = node.local_vm();
     let core = node.core.borrow();
     let starts = clock::now() < node.started_at + STARTUP_WINDOW;
     starts && is_loaded(&core) && core.peers.is_represented(own)
@@ -214,10 +214,10 @@
 }
 
 /// Follows the configuration and the requests to empty VMs.
-pub async fn operators(node: Rc<Node>) {
+pub async fn follow_operator_keys(node: Rc<Node>) {
     let followed = FollowedPrefix {
         subject: StoreSubject::Rules,
-        prefix: node.dialect.keys.operators,
+        prefix: node.dialect.keys.operator_prefix,
     };
     let apply = |node: &Node, update: StoreUpdate, _| {
         for item in update.into_written() {
@@ -238,7 +238,7 @@
     let keys = node.dialect.keys;
     if item.key == keys.rules {
         match (node.dialect.rules)(&item.value) {
-            Ok(rules) => node.take_rules(rules, "store"),
+            Ok(rules) => node.apply_rules(rules, "store"),
             // The configuration in force stays in force.
             Err(error) => log::error!(key = item.key, error; "configuration can't be read"),
         }
@@ -248,7 +248,7 @@
 }
 
 /// Follows the endpoints.
-pub async fn endpoints(node: Rc<Node>) {
+pub async fn follow_endpoints(node: Rc<Node>) {
     let followed = FollowedPrefix {
         subject: StoreSubject::Endpoints,
         prefix: node.dialect.keys.endpoints,
@@ -264,7 +264,7 @@
                 changed.count() > 0
             }
         };
-        node.endpoints_told("store", changed);
+        node.endpoints_reported("store", changed);
     };
     follow_store(node, followed, apply).await;
 }
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -234,14 +234,14 @@
 
     /// Applies a configuration folder, as `bramleyctl apply` does.
     pub fn apply(&self, folder: &Path) -> io::Result<u64> {
-        let state =
-            load::folder(folder).map_err(|faults| io::Error::other(format!("{:?}", faults)))?;
+        let state = load::read_folder(folder)
+            .map_err(|faults| io::Error::other(format!("{:?}", faults)))?;
         let platform = Platform::new(&self.platform.to_string(), Duration::from_secs(2));
         let base = store::read_head(&platform).map_err(io::Error::other)?;
         let applied = store::apply(&platform, base, &state, "test", Duration::from_secs(5));
         match applied.map_err(io::Error::other)? {
-            store::Applied::Won(head) => Ok(head.version),
-            store::Applied::Lost(_) => Err(io::Error::other("another version stands")),
+            store::ApplyOutcome::Won(head) => Ok(head.version),
+            store::ApplyOutcome::Lost(_) => Err(io::Error::other("another version stands")),
         }
     }
 
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -14,7 +14,7 @@
 use crate::http::server::{Head, Responder};
 use crate::http::Request;
 use crate::pages::Page;
-use crate::platform::{Changes, Entry, ListedVm, VALUE_BYTES};
+use crate::platform::{Changes, Entry, ListedVm, VALUE_BYTES_MAX};
 use crate::util::{lock, unescape};
 
 const WATCH_MAX: Duration = Duration::from_secs(30);
@@ -172,7 +172,7 @@
 }
 
 fn put(shared: &Shared, key: &str, request: &Request, out: &mut Responder) -> io::Result<()> {
-    if request.body.len() > VALUE_BYTES {
+    if request.body.len() > VALUE_BYTES_MAX {
         return Page::text(413, "value too large").reply(out);
     }
     let mut state = lock(&shared.state);
--- a/src/store.rs
+++ b/src/store.rs
@@ -13,7 +13,7 @@
 use snafu::Snafu;
 
 use crate::clock;
-use crate::decide::commit::{Answer, Commit, Step};
+use crate::decide::commit::{Commit, Step, WriteOutcome};
 use crate::id::Revision;
 
 /// Id of a lease at the store; 0 means none.
@@ -122,7 +122,7 @@
 
 /// Outcome of a transaction; a lost answer has been resolved by reading a key back.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Settled {
+pub enum CommitOutcome {
     Won(Revision),
     /// Another value is stored at the transaction's first key.
     Lost(Option<Item>),
@@ -134,12 +134,12 @@
 
 /// A finished call, as reported to the observer.
 #[derive(Debug, Clone, Copy)]
-pub struct EndedCall {
+pub struct FinishedCall {
     pub kind: &'static str,
     /// Whether it was a watch. A watch may wait for long, so its `sent_at` says nothing about the
     /// store.
-    pub waited: bool,
-    pub writes: bool,
+    pub is_watch: bool,
+    pub is_write: bool,
     /// Whether the store answered.
     pub answered: bool,
     pub sent_at: Duration,
@@ -149,7 +149,7 @@
 #[derive(Clone)]
 pub struct Store {
     backend: Rc<dyn Fn(Call) -> ReplyFuture>,
-    observer: Rc<dyn Fn(EndedCall)>,
+    observer: Rc<dyn Fn(FinishedCall)>,
 }
 
 impl Store {
@@ -162,7 +162,7 @@
     }
 
     /// The same client, with `observer` called after each call.
-    pub fn observed(self, observer: impl Fn(EndedCall) + 'static) -> Store {
+    pub fn observed(self, observer: impl Fn(FinishedCall) + 'static) -> Store {
         Store {
             observer: Rc::new(observer),
             ..self
@@ -171,10 +171,10 @@
 
     /// Makes one call.
     pub async fn call(&self, call: Call) -> Result<Reply, Error> {
-        let mut ended = EndedCall {
+        let mut ended = FinishedCall {
             kind: (&call).into(),
-            waited: matches!(call, Call::Watch { .. }),
-            writes: matches!(call, Call::Commit(_)),
+            is_watch: matches!(call, Call::Watch { .. }),
+            is_write: matches!(call, Call::Commit(_)),
             answered: false,
             sent_at: clock::now(),
         };
@@ -229,10 +229,10 @@
     ///
     /// The transaction must write that key, with a value that contains a nonce: if the same bytes
     /// are read back, this transaction was applied.
-    pub async fn commit(&self, txn: Txn, timeout: Duration) -> Settled {
+    pub async fn commit(&self, txn: Txn, timeout: Duration) -> CommitOutcome {
         let (key, expect) = match txn.expect.first() {
             Some((key, expect)) => (key.clone(), *expect),
-            None => return Settled::Away("a transaction without a condition".into()),
+            None => return CommitOutcome::Away("a transaction without a condition".into()),
         };
         let own = txn.writes.iter().find(|write| write.key == key);
         let own = own.map(|write| write.value.clone());
@@ -257,37 +257,37 @@
                     ended => ended,
                 };
                 match step {
-                    Step::Won(revision) => return Settled::Won(revision),
-                    Step::Lost => return Settled::Lost(found),
-                    Step::Away => return Settled::Away(String::new()),
+                    Step::Won(revision) => return CommitOutcome::Won(revision),
+                    Step::Lost => return CommitOutcome::Lost(found),
+                    Step::Away => return CommitOutcome::Away(String::new()),
                     Step::Write | Step::Read => {
-                        tokio::time::sleep(commit.pause(COMMIT_RETRY_PAUSE)).await
+                        tokio::time::sleep(commit.delay(COMMIT_RETRY_PAUSE)).await
                     }
                 }
             }
         };
         match tokio::time::timeout(timeout, settle).await {
-            Ok(Settled::Away(_)) => Settled::Away(detail),
+            Ok(CommitOutcome::Away(_)) => CommitOutcome::Away(detail),
             Ok(settled) => settled,
-            Err(_) => Settled::Unknown(detail),
+            Err(_) => CommitOutcome::Unknown(detail),
         }
     }
 
-    async fn write_once(&self, txn: &Txn, detail: &mut String) -> Answer {
+    async fn write_once(&self, txn: &Txn, detail: &mut String) -> WriteOutcome {
         match self.try_commit(txn.clone()).await {
-            Ok(Some(revision)) => Answer::Won(revision),
-            Ok(None) => Answer::Lost,
+            Ok(Some(revision)) => WriteOutcome::Won(revision),
+            Ok(None) => WriteOutcome::Lost,
             Err(Error::Away { detail: why }) => {
                 *detail = why;
-                Answer::Away
+                WriteOutcome::Away
             }
             Err(Error::NoLease) => {
                 *detail = "the lease has ended".into();
-                Answer::Away
+                WriteOutcome::Away
             }
             Err(error) => {
                 *detail = error.to_string();
-                Answer::Unknown
+                WriteOutcome::Unknown
             }
         }
     }
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -18,7 +18,7 @@
 /// Version of all formats in this module.
 pub const VERSION: u8 = 2;
 /// Largest datagram: fits into one packet, with room for tunnel headers.
-pub const DATAGRAM_BYTES: usize = 1400;
+pub const DATAGRAM_BYTES_MAX: usize = 1400;
 /// Largest frame.
 pub const FRAME_BYTES_MAX: usize = 16 * 1024 * 1024;
 const MAC_BYTES: usize = 16;
@@ -51,13 +51,16 @@
 
 /// A request of one VM to another, over TCP.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum PeerAsk {
+pub enum PeerRequest {
     /// Returns the configuration if it is newer than `have`.
     Config { have: ConfigVersion },
     /// Returns the job records that changed after this revision.
     Jobs { after: Revision },
     /// A request to the owner of a range of intents.
-    Intent { key: IntentKey, ask: IntentRequest },
+    Intent {
+        key: IntentKey,
+        request: IntentRequest,
+    },
     /// Stores this content.
     Put { digest: String, content: Bytes },
     /// Returns this content.
@@ -75,7 +78,7 @@
         records: Vec<(Revision, JobRecord)>,
     },
     Intent(IntentVerdict),
-    Kept,
+    Stored,
     Content(Option<Bytes>),
     Has(Vec<bool>),
     /// The request can't be served; the reason.
@@ -88,7 +91,7 @@
     Config(Box<Versioned>),
     /// All jobs that have not ended.
     Jobs(Vec<JobRecord>),
-    Crew(BatchPeers),
+    Peers(BatchPeers),
     /// Batch items that each endpoint may run now.
     Windows(Vec<(EndpointId, ServiceId, u32)>),
     /// The VM is leaving: hand over all claimed work.
--- a/tests/at_most_once.rs
+++ b/tests/at_most_once.rs
@@ -3,9 +3,9 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::time::Duration;
 
-use bramleyseam::decide::commit::Answer;
+use bramleyseam::decide::commit::WriteOutcome;
 use bramleyseam::decide::intents::{
-    Action, IntentPage, IntentRecord, IntentRequest, IntentVerdict, Range, RecordedAnswer,
+    Action, IntentPage, IntentRange, IntentRecord, IntentRequest, IntentVerdict, RecordedAnswer,
 };
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
@@ -15,12 +15,12 @@
 
 enum Event {
     Listed(Option<Vec<(u64, IntentPage)>>),
-    Written(Answer),
+    Written(WriteOutcome),
     Read(Option<Option<(u64, IntentPage)>>),
 }
 
 struct Owner {
-    range: Range,
+    range: IntentRange,
     inbox: Vec<(u32, Event)>,
     paused_until: u32,
 }
@@ -51,7 +51,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let owners = (0..owners)
             .map(|_| Owner {
-                range: Range::new(rng.random()),
+                range: IntentRange::new(rng.random()),
                 inbox: Vec::new(),
                 paused_until: 0,
             })
@@ -81,16 +81,16 @@
         let (now, ticket) = (self.now(), self.next_waiter);
         self.owners[owner]
             .range
-            .ask(now, ticket, key.to_owned(), ask, &mut out);
+            .submit(now, ticket, key.to_owned(), ask, &mut out);
         self.perform(owner, out);
     }
 
-    fn put(&mut self, slot: u64, page: IntentPage) -> Answer {
+    fn put(&mut self, slot: u64, page: IntentPage) -> WriteOutcome {
         if self.outage || self.rng.random_bool(0.1) {
             return if self.rng.random_bool(0.5) {
-                Answer::Away
+                WriteOutcome::Away
             } else {
-                Answer::Unknown
+                WriteOutcome::Unknown
             };
         }
         let free = !self.log.contains_key(&slot);
@@ -98,9 +98,9 @@
             self.log.insert(slot, page);
         }
         match (self.rng.random_bool(0.2), free) {
-            (true, _) => Answer::Unknown,
-            (false, true) => Answer::Won(slot + 1),
-            (false, false) => Answer::Lost,
+            (true, _) => WriteOutcome::Unknown,
+            (false, true) => WriteOutcome::Won(slot + 1),
+            (false, false) => WriteOutcome::Lost,
         }
     }
 
@@ -108,7 +108,10 @@
         for action in actions {
             let fails = self.outage || self.rng.random_bool(0.1);
             let event = match action {
-                Action::Tell { ticket, verdict } => {
+                Action::Reply {
+                    waiter: ticket,
+                    verdict,
+                } => {
                     self.on_reply(ticket, verdict);
                     continue;
                 }
@@ -144,7 +147,7 @@
                         .insert(self.next_waiter, (owner, format!("end-{key}")));
                     let mut out = Vec::new();
                     let (now, ticket) = (self.now(), self.next_waiter);
-                    self.owners[owner].range.ask(
+                    self.owners[owner].range.submit(
                         now,
                         ticket,
                         key,
@@ -170,7 +173,7 @@
         for owner in 0..self.owners.len() {
             if self.rng.random_bool(0.003) {
                 // The process dies and another one starts.
-                let range = Range::new(self.rng.random());
+                let range = IntentRange::new(self.rng.random());
                 self.owners[owner] = Owner {
                     range,
                     inbox: Vec::new(),
@@ -248,10 +251,10 @@
 // The page was written after all, so the key is released and the next attempt may be sent.
 #[test]
 fn doubt_released() {
-    let mut range = Range::new(1);
+    let mut range = IntentRange::new(1);
     let mut out = Vec::new();
     let at = Duration::from_millis;
-    range.ask(
+    range.submit(
         at(0),
         1,
         "key".into(),
@@ -266,13 +269,13 @@
         .any(|action| matches!(action, Action::Write { slot: 0, .. }));
     assert!(written, "{out:?}");
     out.clear();
-    range.written(at(10), Answer::Unknown, &mut out);
+    range.written(at(10), WriteOutcome::Unknown, &mut out);
     range.tick(at(2_000), &mut out);
     let told: HashSet<u64> = out
         .iter()
         .filter_map(|action| match action {
-            Action::Tell {
-                ticket,
+            Action::Reply {
+                waiter: ticket,
                 verdict: IntentVerdict::Away,
             } => Some(*ticket),
             _ => None,
--- a/tests/batch_items.rs
+++ b/tests/batch_items.rs
@@ -44,8 +44,8 @@
     let own = ItemPlanner {
         vm: VM,
         domain: LOCAL_DOMAIN,
-        rivals: &[],
-        starting: true,
+        competing_vms: &[],
+        may_start: true,
     };
     items.plan(now, &own, endpoints, usage)
 }
@@ -70,7 +70,7 @@
     let started = plan(&mut items, ms(0), &endpoints, &Usage::default());
     assert_eq!(starts(&started), 24);
     for row in &endpoints.rows {
-        assert_eq!(items.at(row.id), SLOTS);
+        assert_eq!(items.running_at(row.id), SLOTS);
     }
 }
 
@@ -177,8 +177,8 @@
     let draining = ItemPlanner {
         vm: VM,
         domain: LOCAL_DOMAIN,
-        rivals: &[],
-        starting: false,
+        competing_vms: &[],
+        may_start: false,
     };
     let actions = items.plan(ms(0), &draining, &endpoints, &Usage::default());
     assert!(actions.is_empty());
--- a/tests/batch_machine.rs
+++ b/tests/batch_machine.rs
@@ -8,7 +8,7 @@
 use bramleyseam::decide::batch::{
     Action, AttemptEnd, Batch, ChunkKey, Event, ItemWork, JobView, PlannedItem,
 };
-use bramleyseam::decide::commit::Answer;
+use bramleyseam::decide::commit::WriteOutcome;
 use bramleyseam::decide::jobs::{
     ChunkRecord, ChunkState, ContentLocation, ItemCounts, JobRecord, JobState, ResultSegment,
     Segment,
@@ -128,9 +128,9 @@
         self.rng.random_bool(chance)
     }
 
-    fn write_chunk(&mut self, key: &ChunkKey, expect: u64, record: ChunkRecord) -> Answer {
+    fn write_chunk(&mut self, key: &ChunkKey, expect: u64, record: ChunkRecord) -> WriteOutcome {
         if self.chance(self.faults.store_unavailable) {
-            return Answer::Away;
+            return WriteOutcome::Away;
         }
         let standing = self.chunks.get(key).map_or(0, |(revision, _)| *revision);
         let won = standing == expect;
@@ -151,12 +151,12 @@
             self.chunks.insert(key.clone(), (self.revision, record));
         }
         if self.chance(self.faults.lose_answer) {
-            return Answer::Unknown;
+            return WriteOutcome::Unknown;
         }
         if won {
-            Answer::Won(self.revision)
+            WriteOutcome::Won(self.revision)
         } else {
-            Answer::Lost
+            WriteOutcome::Lost
         }
     }
 
@@ -231,7 +231,10 @@
                 Event::Stored { key, run, segments }
             }
             Action::Start {
-                flight, key, item, ..
+                attempt: flight,
+                key,
+                item,
+                ..
             } => {
                 if self.cancelled_at.is_some_and(|at| self.step > at + 10) {
                     self.started_late += 1;
@@ -242,14 +245,20 @@
                 }
                 let end = self.execute(&key, item);
                 let at = at + self.rng.random_range(0..20);
-                self.vms[vm].inbox.push((at, Event::Ended { flight, end }));
+                self.vms[vm].inbox.push((
+                    at,
+                    Event::Ended {
+                        attempt: flight,
+                        end,
+                    },
+                ));
                 return;
             }
-            Action::Cancel { flight } => {
+            Action::Cancel { attempt: flight } => {
                 // An attempt whose endpoint died ends as failed even if it was cancelled in the
                 // meantime.
                 let waiting = |event: &Event| match event {
-                    Event::Ended { flight: f, end } => {
+                    Event::Ended { attempt: f, end } => {
                         *f == flight && !matches!(end, AttemptEnd::Failed { died: true, .. })
                     }
                     _ => false,
@@ -259,7 +268,7 @@
                     *found = (
                         at,
                         Event::Ended {
-                            flight,
+                            attempt: flight,
                             end: AttemptEnd::Cancelled,
                         },
                     );
@@ -289,7 +298,7 @@
         self.vms[vm].inbox.push((
             at,
             Event::Ended {
-                flight,
+                attempt: flight,
                 end: died(),
             },
         ));
@@ -390,16 +399,16 @@
             domains: vec![1],
         };
         let peers = BatchPeers {
-            own: vm as u64 + 1,
-            own_domain: 1,
+            local_vm: vm as u64 + 1,
+            local_domain: 1,
             vms,
             owners,
-            hands: vec![workers],
+            workers: vec![workers],
         };
         let passed = (views, peers);
         if self.vms[vm].last_passed.as_ref() != Some(&passed) {
             due.push(Event::Jobs(passed.0.clone()));
-            due.push(Event::Crew(passed.1.clone()));
+            due.push(Event::Peers(passed.1.clone()));
             self.vms[vm].last_passed = Some(passed);
         }
         let window = self.rng.random_range(0..4);
--- a/tests/configuration.rs
+++ b/tests/configuration.rs
@@ -285,9 +285,9 @@
     for file in fs::read_dir("demo/config").unwrap().flatten() {
         fs::copy(file.path(), folder.join(file.file_name())).unwrap();
     }
-    assert!(load::folder(&folder).is_ok());
+    assert!(load::read_folder(&folder).is_ok());
     fs::write(folder.join("workspace.json"), "[]").unwrap();
-    let faults = load::folder(&folder).unwrap_err();
+    let faults = load::read_folder(&folder).unwrap_err();
     assert_eq!(faults[0].file, "workspace.json");
     fs::remove_dir_all(&folder).unwrap();
 }
--- a/tests/endpoint_discovery.rs
+++ b/tests/endpoint_discovery.rs
@@ -25,7 +25,7 @@
 }
 
 fn usable(discovery: &Discovery) -> Vec<u64> {
-    let rows = discovery.declared().into_iter();
+    let rows = discovery.endpoint_configs().into_iter();
     rows.filter(|(.., draining)| !draining)
         .map(|(id, ..)| id)
         .collect()
--- a/tests/endpoint_processes.rs
+++ b/tests/endpoint_processes.rs
@@ -39,7 +39,7 @@
 }
 
 fn used_endpoints(discovery: &Discovery) -> Vec<u64> {
-    let rows = discovery.declared().into_iter();
+    let rows = discovery.endpoint_configs().into_iter();
     let rows = rows.filter(|(.., draining)| !draining);
     rows.map(|(id, ..)| id).collect()
 }
@@ -132,7 +132,7 @@
     let mut endpoints = Endpoints::default();
     let configure = |endpoints: &mut Endpoints, start| {
         let entry = entry(Some(start), false);
-        endpoints.configure([(entry.endpoint(), entry.declared())]);
+        endpoints.configure([(entry.endpoint(), entry.endpoint_config())]);
     };
     configure(&mut endpoints, START_MS);
     endpoints.rows[0].online_here = 8;
--- a/tests/endpoint_uses.rs
+++ b/tests/endpoint_uses.rs
@@ -28,7 +28,7 @@
             sum.online += u32::from(one.online);
             sum.batch += u32::from(one.batch);
             sum.urgent += u32::from(one.urgent);
-            sum.online_users += u32::from(one.online > 0);
+            sum.online_vms += u32::from(one.online > 0);
         }
     }
     sum
@@ -53,7 +53,7 @@
             usage.tick(now);
             usage.apply_report(now, u64::from(vm % 4), uses.clone());
             reports.push(UseReport { at: now, vm: u64::from(vm % 4), uses });
-            let sum_matches = |at| usage.of(at) == expected_sum(&reports, now, at);
+            let sum_matches = |at| usage.total(at) == expected_sum(&reports, now, at);
             if !(0..ENDPOINTS).all(sum_matches) {
                 return false;
             }
--- a/tests/hostile_input.rs
+++ b/tests/hostile_input.rs
@@ -8,7 +8,9 @@
 use bramleyseam::clock;
 use bramleyseam::decide::batch::place::BatchPeers;
 use bramleyseam::standin::fleet::{call, Fleet, Plan};
-use bramleyseam::wire::{decode, read_frame, Datagram, Key, PeerAsk, PeerReply, ToBatch, ToEntry};
+use bramleyseam::wire::{
+    decode, read_frame, Datagram, Key, PeerReply, PeerRequest, ToBatch, ToEntry,
+};
 use quickcheck::quickcheck;
 use serde_json::json;
 
@@ -148,19 +150,19 @@
     // No input makes a decoder panic or allocate memory for a length that is only announced.
     fn codecs_hold(bytes: Vec<u8>) -> bool {
         let _ = decode::<Datagram>(&bytes);
-        let _ = decode::<PeerAsk>(&bytes);
+        let _ = decode::<PeerRequest>(&bytes);
         let _ = decode::<PeerReply>(&bytes);
         let _ = decode::<ToBatch>(&bytes);
         let _ = decode::<ToEntry>(&bytes);
         let key = Key::new("a secret for tests");
         let _ = key.open::<Datagram>(&bytes);
-        read_frame::<PeerAsk>(&mut &bytes[..], &key).is_err()
+        read_frame::<PeerRequest>(&mut &bytes[..], &key).is_err()
     }
 
     // A message with any modified byte is rejected.
     fn changed_refused(at: usize, by: u8, batch: u64) -> bool {
         let key = Key::new("a secret for tests");
-        let message = ToBatch::Crew(BatchPeers { own: batch, ..BatchPeers::default() });
+        let message = ToBatch::Peers(BatchPeers { local_vm: batch, ..BatchPeers::default() });
         let mut sealed = key.seal(&message).unwrap();
         let opened = key.open::<ToBatch>(&sealed).ok() == Some(message);
         let at = at % sealed.len();
--- a/tests/idle_slots.rs
+++ b/tests/idle_slots.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use bramleyseam::decide::endpoints::Endpoints;
-use bramleyseam::decide::idle::{Idle, IdleReason, IdleSnapshot};
+use bramleyseam::decide::idle::{IdleCounter, IdleReason, IdleSnapshot};
 use bramleyseam::decide::items::{ItemKey, ItemPlanner, Items};
 use bramleyseam::decide::slot_grants::CompetingVm;
 use bramleyseam::decide::usage::Usage;
@@ -35,12 +35,12 @@
     let own = ItemPlanner {
         vm: 1,
         domain: 1,
-        rivals: &[CompetingVm {
+        competing_vms: &[CompetingVm {
             vm: 2,
             domain: 1,
             items: 8,
         }],
-        starting: true,
+        may_start: true,
     };
     let started = items.plan(ms(1000), &own, &endpoints, &Usage::default());
     items.plan(ms(1100), &own, &endpoints, &Usage::default());
@@ -59,8 +59,8 @@
     let own = ItemPlanner {
         vm: 1,
         domain: 1,
-        rivals: &[],
-        starting: true,
+        competing_vms: &[],
+        may_start: true,
     };
     assert_eq!(
         items
@@ -85,9 +85,9 @@
     // the number of free slots, and times the number of items.
     fn bounded(free_slots: u16, ready: u16, paused: u16, gap_ms: u16) -> bool {
         let (free_slots, ready, paused) = (u32::from(free_slots), u32::from(ready), u32::from(paused));
-        let mut idle = Idle::default();
-        idle.note(ms(0), IdleSnapshot { free_slots, ready, paused, starting: true });
-        idle.note(ms(u64::from(gap_ms)), IdleSnapshot::default());
+        let mut idle = IdleCounter::default();
+        idle.record(ms(0), IdleSnapshot { free_slots, ready, paused, may_start: true });
+        idle.record(ms(u64::from(gap_ms)), IdleSnapshot::default());
         let lost = idle.lost(IdleReason::Turn) + idle.lost(IdleReason::Pause);
         lost <= ms(u64::from(gap_ms).min(200)) * free_slots.min(ready + paused)
     }
--- a/tests/item_turns.rs
+++ b/tests/item_turns.rs
@@ -66,7 +66,7 @@
         let competitor = |vm: &Vm| CompetingVm {
             vm: vm.id,
             domain: LOCAL_DOMAIN,
-            items: vm.items.waiting() as u32,
+            items: vm.items.waiting_count() as u32,
         };
         if (step * PLAN_MS).is_multiple_of(REPORT_MS) {
             waiting = vms
@@ -81,8 +81,8 @@
             let own = ItemPlanner {
                 vm: vm.id,
                 domain: LOCAL_DOMAIN,
-                rivals: if use_grants { &others } else { &[] },
-                starting: true,
+                competing_vms: if use_grants { &others } else { &[] },
+                may_start: true,
             };
             let ended: Vec<ItemKey> = vm
                 .running
@@ -120,7 +120,7 @@
     let reports: Vec<(u64, Vec<(u64, EndpointUse)>)> = vms
         .iter()
         .map(|vm| {
-            let placed = vm.items.placed(now);
+            let placed = vm.items.by_endpoint(now);
             let uses = endpoints.rows.iter().map(|row| {
                 let here = placed.get(&row.id).copied().unwrap_or_default();
                 let one = EndpointUse {
@@ -198,7 +198,7 @@
     let others = [competitor(4, 10)];
     let mut taken = 0;
     while grants.may_start(now, endpoint, 8 - taken, competitor(3, 10 - taken), &others) {
-        grants.started(now, 1);
+        grants.record_start(now, 1);
         taken += 1;
     }
     assert_eq!(taken, 4);
@@ -240,12 +240,12 @@
     let own = ItemPlanner {
         vm: 1,
         domain: LOCAL_DOMAIN,
-        rivals: &[CompetingVm {
+        competing_vms: &[CompetingVm {
             vm: 2,
             domain: LOCAL_DOMAIN,
             items: 1,
         }],
-        starting: true,
+        may_start: true,
     };
     let actions = items.plan(Duration::from_secs(1), &own, &endpoints, &Usage::default());
     assert_eq!(actions.len(), 80);
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -14,7 +14,7 @@
 use bramleyseam::decide::quota::DomainCounts;
 use bramleyseam::decide::usage::{EndpointUse, RemoteUse, Usage};
 use bramleyseam::id;
-use bramleyseam::wire::DATAGRAM_BYTES;
+use bramleyseam::wire::DATAGRAM_BYTES_MAX;
 use quickcheck::quickcheck;
 
 /// Time of one simulation step; a datagram takes one step.
@@ -77,7 +77,7 @@
             domain: self.record.domain,
             core_share: self.record.core_share,
             draining: false,
-            fit: self.store,
+            eligible: self.store,
         }
     }
 
@@ -102,10 +102,10 @@
             owner: self.record.owner,
             sequence: self.sequence,
             draining: false,
-            store: self.store,
+            store_available: self.store,
             rules: self.rules,
             endpoints: 1,
-            proofs: self.freshness.own_confirmation_ages(now),
+            confirmation_ages: self.freshness.own_confirmation_ages(now),
             jobs: 1,
             waiting: 0,
             backlog: Vec::new(),
@@ -360,14 +360,14 @@
             Datagram::Heartbeat(heartbeat) => postcard::to_stdvec(heartbeat).unwrap().len(),
             Datagram::Summary(summary) => postcard::to_stdvec(summary).unwrap().len(),
         };
-        assert!(bytes + 32 <= DATAGRAM_BYTES, "{bytes} bytes");
+        assert!(bytes + 32 <= DATAGRAM_BYTES_MAX, "{bytes} bytes");
         self.received_bytes += bytes as u64;
         match datagram {
             Datagram::Heartbeat(heartbeat) => {
                 if self.peers.apply_heartbeat(now, from, &heartbeat) {
                     self.freshness.confirm_by_peer(
                         now,
-                        heartbeat.proofs,
+                        heartbeat.confirmation_ages,
                         self.versions_match(heartbeat.rules),
                     );
                     let rows = heartbeat.rows.iter().map(|row| (row.endpoint, row.uses));
@@ -380,12 +380,12 @@
     }
 
     fn receive_summary(&mut self, now: Duration, summary: Summary) -> Vec<(SocketAddr, Summary)> {
-        if summary.by == self.id() || !self.peers.domains.apply_summary(now, &summary) {
+        if summary.delegate == self.id() || !self.peers.domains.apply_summary(now, &summary) {
             return Vec::new();
         }
         let versions_match = self.versions_match(summary.rules);
         self.freshness
-            .confirm_by_peer(now, summary.proofs, versions_match);
+            .confirm_by_peer(now, summary.confirmation_ages, versions_match);
         let is_local = summary.domain == self.record.domain;
         if is_local
             && self
@@ -505,7 +505,7 @@
                 .vms
                 .iter()
                 .filter(|vm| (vm.record.domain == local_domain) == is_local);
-            selected.all(|vm| vm.usage.of(endpoint).online == users(fleet, vm))
+            selected.all(|vm| vm.usage.total(endpoint).online == users(fleet, vm))
         };
         assert!(known(&fleet, true), "{vms}: local");
         assert!(known(&fleet, false), "{vms}: remote");
@@ -513,7 +513,11 @@
         fleet.vms[vm_index].dead = true;
         fleet.run(Duration::from_millis(3200), |_| false);
         for vm in fleet.vms.iter().filter(|vm| !vm.dead) {
-            assert_eq!(vm.usage.of(endpoint).online, users(&fleet, vm) - 1, "{vms}");
+            assert_eq!(
+                vm.usage.total(endpoint).online,
+                users(&fleet, vm) - 1,
+                "{vms}"
+            );
         }
     }
 }
@@ -610,9 +614,9 @@
     let mut usage = Usage::default();
     usage.apply_group_part(now, 10, (0, 2), [(1, one)]);
     usage.apply_group_part(now, 10, (1, 2), [(2, one)]);
-    assert_eq!((usage.of(1).online, usage.of(2).online), (1, 1));
+    assert_eq!((usage.total(1).online, usage.total(2).online), (1, 1));
     let touched = usage.apply_group_part(now, 10, (0, 1), [(2, one)]);
-    assert_eq!((usage.of(1).online, usage.of(2).online), (0, 1));
+    assert_eq!((usage.total(1).online, usage.total(2).online), (0, 1));
     assert!(touched.contains(&1) && touched.contains(&2));
 }
 
--- a/tests/lost_answers.rs
+++ b/tests/lost_answers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use bramleyseam::decide::commit::{Answer, Commit, Step};
+use bramleyseam::decide::commit::{Commit, Step, WriteOutcome};
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -15,11 +15,11 @@
 }
 
 impl StoreKey {
-    fn put(&mut self, rng: &mut SmallRng, expect: u64, value: u32) -> Answer {
+    fn put(&mut self, rng: &mut SmallRng, expect: u64, value: u32) -> WriteOutcome {
         match rng.random_range(0..6) {
-            0 => return Answer::Away,
+            0 => return WriteOutcome::Away,
             // The request itself is lost: no effect, but the writer can't tell.
-            1 => return Answer::Unknown,
+            1 => return WriteOutcome::Unknown,
             _ => {}
         }
         let won = self.revision == expect;
@@ -29,9 +29,9 @@
             self.history.push(value);
         }
         match (rng.random_bool(0.4), won) {
-            (true, _) => Answer::Unknown,
-            (false, true) => Answer::Won(self.revision),
-            (false, false) => Answer::Lost,
+            (true, _) => WriteOutcome::Unknown,
+            (false, true) => WriteOutcome::Won(self.revision),
+            (false, false) => WriteOutcome::Lost,
         }
     }
 }
@@ -71,11 +71,11 @@
 #[test]
 fn own_conflict() {
     let mut commit = Commit::new(5);
-    assert_eq!(commit.written(Answer::Unknown), Step::Read);
+    assert_eq!(commit.written(WriteOutcome::Unknown), Step::Read);
     assert_eq!(commit.read(Some(Some((5, false)))), Step::Write);
-    assert_eq!(commit.written(Answer::Lost), Step::Read);
+    assert_eq!(commit.written(WriteOutcome::Lost), Step::Read);
     assert_eq!(commit.read(Some(Some((6, true)))), Step::Won(6));
-    assert_eq!(commit.pause(Duration::ZERO), Duration::ZERO);
+    assert_eq!(commit.delay(Duration::ZERO), Duration::ZERO);
 }
 
 // After an attempt with an unknown result, "unavailable" says nothing about that earlier attempt
@@ -83,8 +83,8 @@
 #[test]
 fn away_after_doubt() {
     let mut commit = Commit::new(5);
-    commit.written(Answer::Unknown);
+    commit.written(WriteOutcome::Unknown);
     commit.read(Some(Some((5, false))));
-    assert_eq!(commit.written(Answer::Away), Step::Read);
+    assert_eq!(commit.written(WriteOutcome::Away), Step::Read);
     assert_eq!(commit.read(Some(Some((6, true)))), Step::Won(6));
 }
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -96,8 +96,8 @@
 
     fn adopt(&mut self, at: usize, version: u64) {
         let vm = &mut self.vms[at];
-        if version > vm.fleet.card.config {
-            vm.fleet.card.config = version;
+        if version > vm.fleet.status.config {
+            vm.fleet.status.config = version;
             vm.versions.push(version);
             vm.fleet.send_now();
         }
@@ -154,7 +154,7 @@
                     let peer = usize::from(peer.port()) - 1000;
                     let cut = self.cuts.contains(&(from, peer)) || !self.running(peer);
                     if !cut && self.rng.random_bool(1.0 - self.loss) {
-                        let version = self.vms[peer].fleet.card.config;
+                        let version = self.vms[peer].fleet.status.config;
                         self.adopt(from, version);
                     }
                 }
@@ -178,9 +178,9 @@
 
     /// Whether `at` counts `other` as alive.
     fn counts_alive(&self, at: usize, other: usize) -> bool {
-        let members = &self.vms[at].fleet.members.rows;
-        let row = members.get(&self.vms[other].fleet.card.vm);
-        row.is_some_and(|row| row.alive(self.now))
+        let members = &self.vms[at].fleet.members.members;
+        let row = members.get(&self.vms[other].fleet.status.vm);
+        row.is_some_and(|row| row.is_alive(self.now))
     }
 
     fn watch_removals(&mut self, duration: Duration) {
@@ -235,12 +235,12 @@
         world.run_for(Duration::from_millis(1500));
         let unused_locally = |world: &World| {
             world.vms.iter().all(|vm| {
-                let domain = vm.fleet.card.domain;
+                let domain = vm.fleet.status.domain;
                 let local = vm
                     .endpoints
                     .rows
                     .iter()
-                    .filter(|row| row.declared.domain == domain);
+                    .filter(|row| row.config.domain == domain);
                 local.into_iter().all(|row| !row.usable(world.now))
             })
         };
@@ -331,7 +331,7 @@
         world.cuts.clear();
         world.run_for(Duration::from_secs(15));
         let rising = |versions: &[u64]| versions.windows(2).all(|pair| pair[0] < pair[1]);
-        world.vms.iter().all(|vm| rising(&vm.versions) && vm.fleet.card.config == newest)
+        world.vms.iter().all(|vm| rising(&vm.versions) && vm.fleet.status.config == newest)
     }
 
     // After any cuts, all VMs of a failure domain agree on an endpoint's assigned VM again.
--- a/tests/online_rules.rs
+++ b/tests/online_rules.rs
@@ -6,7 +6,7 @@
 use bramleyseam::decide::endpoints::{Endpoint, EndpointReport};
 use bramleyseam::decide::online::{Action, Arrival, AttemptOutcome, Event, Online, ServiceConfig};
 use bramleyseam::decide::refusal::RefusalKind;
-use bramleyseam::decide::retry::{AttemptStage, TRIES_MAX};
+use bramleyseam::decide::retry::{AttemptStage, ATTEMPTS_MAX_DEFAULT};
 use bramleyseam::decide::routing::{choose, Policy, RouteQuery};
 use bramleyseam::standin::table::declared;
 use quickcheck::quickcheck;
@@ -30,7 +30,7 @@
         first_token_goal: ms(500),
         queue_limit: 40,
         max_in_flight: 1000,
-        learn: false,
+        learn_limit: false,
         shares: HashMap::from([(1, 0.5), (2, 0.5)]),
     };
     online.services.insert(SERVICE, service);
@@ -47,7 +47,7 @@
         deadline: now + ms(2_000),
         idempotent,
         resumable: false,
-        attempts_max: TRIES_MAX,
+        attempts_max: ATTEMPTS_MAX_DEFAULT,
     }
 }
 
@@ -129,9 +129,9 @@
                             _ => AttemptStage::MaybeSent,
                         };
                         AttemptOutcome::Failed {
-                            reach,
-                            blame: true,
-                            ended: false,
+                            stage: reach,
+                            endpoint_fault: true,
+                            endpoint_ended: false,
                         }
                     } else {
                         AttemptOutcome::Done
@@ -139,7 +139,7 @@
                     let history = self.histories.get_mut(&request).unwrap();
                     assert!(history.end.is_none(), "sent after its final answer");
                     history.attempts += 1;
-                    if let AttemptOutcome::Failed { reach, .. } = outcome {
+                    if let AttemptOutcome::Failed { stage: reach, .. } = outcome {
                         history.maybe_run += u32::from(reach == AttemptStage::MaybeSent);
                     } else {
                         history.maybe_run += 1;
@@ -286,9 +286,9 @@
 /// The end of an attempt at an endpoint whose process has exited.
 fn process_ended(reach: AttemptStage) -> AttemptOutcome {
     AttemptOutcome::Failed {
-        reach,
-        blame: true,
-        ended: true,
+        stage: reach,
+        endpoint_fault: true,
+        endpoint_ended: true,
     }
 }
 
@@ -474,7 +474,7 @@
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut online = online(seed, loads.len().min(30), 4.0);
         for (at, row) in online.endpoints.rows.iter_mut().enumerate() {
-            row.declared.domain = (at % 3) as u64;
+            row.config.domain = (at % 3) as u64;
             row.online_elsewhere = u32::from(loads[at] % 6);
             row.batch = u32::from(loads[at] / 6 % 4);
         }
@@ -488,7 +488,7 @@
                 (true, true) => 0,
                 (true, false) => 1,
             };
-            let place = |r: &Endpoint| (class(r), r.declared.domain != LOCAL_DOMAIN);
+            let place = |r: &Endpoint| (class(r), r.config.domain != LOCAL_DOMAIN);
             let first = table.rows.iter().map(place).min();
             match choose(table, LOCAL_DOMAIN, ask, policy, now, &mut rng) {
                 Err(_) => first.is_none_or(|(class, _)| class == 2),
--- a/tests/orders.rs
+++ b/tests/orders.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bramleyseam::clock;
-use bramleyseam::decide::commit::Answer;
-use bramleyseam::decide::orders::{Action, EndpointModels, FenceRecord, Orders, LEASE};
+use bramleyseam::decide::commit::WriteOutcome;
+use bramleyseam::decide::orders::{Action, EndpointModels, FenceRecord, Orders, LEASE_DURATION};
 use bramleyseam::id::Name;
 use bramleyseam::standin::fleet::{Fleet, Plan};
 use quickcheck::quickcheck;
@@ -19,7 +19,7 @@
     Leased(Option<u64>),
     Renewed(Option<bool>),
     Read(Option<Option<(u64, FenceRecord)>>),
-    Written(Answer),
+    Written(WriteOutcome),
 }
 
 struct Holder {
@@ -84,7 +84,7 @@
                 let won = !self.store_unavailable() && self.lease.is_none();
                 if won {
                     self.next_lease += 1;
-                    self.lease = Some((self.next_lease, now + LEASE));
+                    self.lease = Some((self.next_lease, now + LEASE_DURATION));
                 }
                 Reply::Leased(won.then_some(self.next_lease))
             }
@@ -93,7 +93,7 @@
                 false => {
                     let alive = self.lease.is_some_and(|(own, _)| own == lease);
                     if alive {
-                        self.lease = Some((lease, now + LEASE));
+                        self.lease = Some((lease, now + LEASE_DURATION));
                     }
                     Reply::Renewed(Some(alive))
                 }
@@ -109,9 +109,9 @@
                     self.fence = Some((expect + 1, record));
                 }
                 match (self.rng.random_bool(0.2), won) {
-                    (true, _) => Reply::Written(Answer::Unknown),
-                    (false, true) => Reply::Written(Answer::Won(expect + 1)),
-                    (false, false) => Reply::Written(Answer::Lost),
+                    (true, _) => Reply::Written(WriteOutcome::Unknown),
+                    (false, true) => Reply::Written(WriteOutcome::Won(expect + 1)),
+                    (false, false) => Reply::Written(WriteOutcome::Lost),
                 }
             }
             Action::Order {
@@ -162,8 +162,8 @@
                     continue;
                 }
                 match reply {
-                    Reply::Leased(lease) => holder.orders.leased(now, lease, &mut out),
-                    Reply::Renewed(alive) => holder.orders.renewed(now, alive),
+                    Reply::Leased(lease) => holder.orders.lease_answered(now, lease, &mut out),
+                    Reply::Renewed(alive) => holder.orders.renewal_answered(now, alive),
                     Reply::Read(found) => holder.orders.fence_read(now, found, &mut out),
                     Reply::Written(answer) => holder.orders.fence_written(now, answer, &mut out),
                 }
--- a/tests/quota_play.rs
+++ b/tests/quota_play.rs
@@ -353,8 +353,8 @@
     let now = ms(now_ms);
     for vm in vms.iter_mut().filter(|vm| now_ms >= vm.down_until) {
         let view = FleetView {
-            store: true,
-            large: simulation.uses_delegates,
+            store_available: true,
+            uses_delegates: simulation.uses_delegates,
             vms: simulation.vms as u32,
         };
         vm.quotas.tick(now, view);
@@ -411,7 +411,7 @@
             let counts = if local || remote_full { &all } else { &prompt };
             if now_ms >= vms[to].down_until && is_delivered(simulation, from, to, at_s, rng) {
                 if owner >= 1_000_000 {
-                    vms[to].quotas.replaced(owner - 1_000_000);
+                    vms[to].quotas.process_replaced(owner - 1_000_000);
                 }
                 apply(
                     &mut vms[to],
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bramleyseam::decide::online::{
-    Action, Arrival, AttemptOutcome, Event, Online, ServiceConfig, ANSWER_SILENCE, SILENCE,
-    SILENCE_CROWDED,
+    Action, Arrival, AttemptOutcome, Event, Online, ServiceConfig, QUEUED_SILENCE_TIMEOUT,
+    RESPONSE_SILENCE_TIMEOUT, SILENCE_TIMEOUT,
 };
 use bramleyseam::decide::refusal::RefusalKind;
 use bramleyseam::decide::retry::AttemptStage;
@@ -38,7 +38,7 @@
             first_token_goal: ms(300),
             queue_limit: 40,
             max_in_flight: 1000,
-            learn: false,
+            learn_limit: false,
             shares: HashMap::from([(0, 1.0)]),
         };
         online.services.insert(SERVICE, service);
@@ -70,9 +70,9 @@
 
     fn failed(&mut self, request: u64, reach: AttemptStage) -> Vec<Action> {
         let outcome = AttemptOutcome::Failed {
-            reach,
-            blame: true,
-            ended: false,
+            stage: reach,
+            endpoint_fault: true,
+            endpoint_ended: false,
         };
         self.event(Event::Ended { request, outcome })
     }
@@ -120,7 +120,7 @@
 fn dark_engine() {
     let mut simulation = Simulation::new(2);
     let first = sent_to(&simulation.arrive(1, true, 2)).unwrap();
-    let actions = simulation.run_for(SILENCE + TICK, None);
+    let actions = simulation.run_for(SILENCE_TIMEOUT + TICK, None);
     assert_eq!(given_up(&actions), [1]);
     let again = sent_to(&simulation.failed(1, AttemptStage::MaybeSent)).unwrap();
     assert_ne!(first, again);
@@ -133,7 +133,7 @@
     let first = sent_to(&simulation.arrive(1, true, 2)).unwrap();
     simulation.event(Event::FirstToken { request: 1 });
     simulation.run_for(ms(500), Some(first));
-    let actions = simulation.run_for(SILENCE + TICK, None);
+    let actions = simulation.run_for(SILENCE_TIMEOUT + TICK, None);
     assert_eq!(given_up(&actions), [1]);
     assert!(sent_to(&simulation.failed(1, AttemptStage::Answering)).is_some());
 }
@@ -153,7 +153,7 @@
     for _ in 0..3 {
         simulation.online.note_response(simulation.now, 2);
         given_up_ids.extend(given_up(
-            &simulation.run_for(ANSWER_SILENCE / 2, Some(endpoint)),
+            &simulation.run_for(RESPONSE_SILENCE_TIMEOUT / 2, Some(endpoint)),
         ));
     }
     assert_eq!(given_up_ids, [1]);
@@ -166,7 +166,7 @@
 fn silent_from_start() {
     let mut simulation = Simulation::new(2);
     let endpoint = sent_to(&simulation.arrive(1, true, 2)).unwrap();
-    let actions = simulation.run_for(SILENCE_CROWDED + TICK, Some(endpoint));
+    let actions = simulation.run_for(QUEUED_SILENCE_TIMEOUT + TICK, Some(endpoint));
     assert_eq!(given_up(&actions), [1]);
 }
 
@@ -181,7 +181,7 @@
     let mut remaining: Vec<_> = declared(2, SERVICE, SLOTS, |_| 1).collect();
     remaining.retain(|(id, _)| *id != first);
     simulation.online.endpoints.configure(remaining);
-    let actions = simulation.run_for(ANSWER_SILENCE + TICK, None);
+    let actions = simulation.run_for(RESPONSE_SILENCE_TIMEOUT + TICK, None);
     assert_eq!(given_up(&actions), [1]);
     assert!(sent_to(&simulation.failed(1, AttemptStage::Answering)).is_some());
 }
@@ -217,8 +217,11 @@
         .get_mut(endpoint)
         .unwrap()
         .online_elsewhere = SLOTS as u32;
-    assert!(given_up(&simulation.run_for(SILENCE * 2, None)).is_empty());
-    assert_eq!(given_up(&simulation.run_for(SILENCE_CROWDED, None)), [1]);
+    assert!(given_up(&simulation.run_for(SILENCE_TIMEOUT * 2, None)).is_empty());
+    assert_eq!(
+        given_up(&simulation.run_for(QUEUED_SILENCE_TIMEOUT, None)),
+        [1]
+    );
 }
 
 // This process was paused for seconds and finds all engines silent; the silence is its own.
@@ -228,7 +231,7 @@
     simulation.arrive(1, true, 2);
     simulation.now += ms(3_000);
     assert!(given_up(&simulation.tick()).is_empty());
-    assert!(given_up(&simulation.run_for(SILENCE - TICK, None)).is_empty());
+    assert!(given_up(&simulation.run_for(SILENCE_TIMEOUT - TICK, None)).is_empty());
 }
 
 // Two connections in a row that fail to open eject an engine at once: its process is gone, and each
--- a/tests/small_jobs.rs
+++ b/tests/small_jobs.rs
@@ -3,14 +3,14 @@
 use std::collections::HashSet;
 
 use bramleyseam::decide::small_jobs::{
-    body_parts, Finished, Item, Outcome, Record, PART_BYTES_MAX,
+    body_parts, FinishedItem, Item, ItemOutcome, SmallJobRecord, PART_BYTES_MAX,
 };
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-fn record(items: usize) -> Record {
-    Record {
+fn record(items: usize) -> SmallJobRecord {
+    SmallJobRecord {
         id: "job".into(),
         host: "a.example".into(),
         route: "batch".into(),
@@ -31,10 +31,10 @@
     }
 }
 
-fn finished(item: u32, text: &str) -> Finished {
-    Finished {
+fn finished(item: u32, text: &str) -> FinishedItem {
+    FinishedItem {
         item,
-        outcome: Outcome::Completed,
+        outcome: ItemOutcome::Completed,
         text: text.into(),
     }
 }
@@ -44,7 +44,7 @@
     let mut record = record(5);
     let mut parts = Vec::new();
     for batch in [vec![3, 1], vec![0], vec![4, 2]] {
-        let done: Vec<Finished> = batch
+        let done: Vec<FinishedItem> = batch
             .iter()
             .map(|item| finished(*item, &format!("t{item}")))
             .collect();
@@ -54,7 +54,7 @@
     }
     assert!(record.complete());
     for (position, item) in [3, 1, 0, 4, 2].into_iter().enumerate() {
-        let (part, place) = record.text_place(position).unwrap();
+        let (part, place) = record.text_location(position).unwrap();
         let texts = &parts.iter().find(|(number, _)| *number == part).unwrap().1;
         assert_eq!(texts[place], format!("t{item}"));
         assert_eq!(record.listed[position].item, item);
@@ -65,7 +65,7 @@
 fn large_texts_split() {
     let record = record(3);
     let text = "x".repeat(PART_BYTES_MAX / 2 + 1);
-    let done: Vec<Finished> = (0..3).map(|item| finished(item, &text)).collect();
+    let done: Vec<FinishedItem> = (0..3).map(|item| finished(item, &text)).collect();
     let listing = record.list(1, 1, &done, &[], 2).unwrap();
     assert_eq!(listing.parts.len(), 3);
     assert!(listing.record.complete());
@@ -91,7 +91,7 @@
         first += part.len() as u32;
     }
     for at in 0..7 {
-        let (part, place) = record.body_place(at).unwrap();
+        let (part, place) = record.body_location(at).unwrap();
         assert_eq!(parts[part as usize][place].id, items[at as usize].id);
     }
 }
@@ -162,7 +162,7 @@
                 3 => view.hand_over(owner, 0, nonce),
                 4 => view.cancel(nonce).filter(|_| rng.random_bool(0.1)),
                 _ => {
-                    let done: Vec<Finished> = (0..rng.random_range(1..3))
+                    let done: Vec<FinishedItem> = (0..rng.random_range(1..3))
                         .map(|_| finished(rng.random_range(0..8), "t"))
                         .collect();
                     view.list(owner, view.epoch, &done, &[], nonce).map(|listing| listing.record)
--- a/tests/stopped_runs.rs
+++ b/tests/stopped_runs.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-use bramleyseam::serve::stopping::unless_stopped;
+use bramleyseam::serve::cancellation::unless_stopped;
 use tokio::io::AsyncReadExt;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{oneshot, Notify};
--- a/tests/vms_heard.rs
+++ b/tests/vms_heard.rs
@@ -20,10 +20,10 @@
         owner,
         sequence,
         draining: false,
-        store: true,
+        store_available: true,
         rules: 1,
         endpoints: 1,
-        proofs: ConfirmationAges::default(),
+        confirmation_ages: ConfirmationAges::default(),
         jobs: 1,
         waiting: 0,
         backlog: Vec::new(),
@@ -96,7 +96,7 @@
     let mut peers = Peers::default();
     let mut is_serving = |at: u64, sequence: u64, store: bool| {
         let message = Heartbeat {
-            store,
+            store_available: store,
             ..heartbeat(200, sequence)
         };
         peers.apply_heartbeat(ms(at), address(), &message);
--- a/tests/waiting_limit.rs
+++ b/tests/waiting_limit.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use bramleyseam::decide::backlog::{
-    AdmissionPath, Backlog, BacklogView, Reservations, Reserved, PEER_REPORT_DELAY,
-    RETRY_AFTER_MAX, RETURN_MIN,
+    AdmissionPath, Backlog, BacklogView, Reservation, Reservations, PEER_REPORT_DELAY,
+    RETRY_AFTER_MAX, RETRY_AFTER_MIN,
 };
 use bramleyseam::id::JobId;
 use quickcheck::quickcheck;
@@ -120,7 +120,7 @@
         let being_written: u64 = being_written.map(|one| one.tokens).sum();
         BacklogView {
             limit_tokens: self.limit,
-            waiting_tokens: open + being_written + self.vms[vm].being_written(ROUTE, known),
+            waiting_tokens: open + being_written + self.vms[vm].tokens_being_written(ROUTE, known),
             vms: self.vms.len() as u32,
         }
     }
@@ -155,7 +155,7 @@
     }
 
     fn reserve(&mut self, vm: usize, id: &JobId, tokens: u64, view: BacklogView) -> bool {
-        let reservation = Reserved {
+        let reservation = Reservation {
             job: id.clone(),
             tokens,
         };
@@ -175,7 +175,7 @@
             return false;
         };
         self.reservations = after;
-        self.vms[vm].reserved(self.now, ROUTE, &reservation);
+        self.vms[vm].reservation_written(self.now, ROUTE, &reservation);
         true
     }
 
@@ -285,7 +285,7 @@
 fn large_job_fits() {
     let mut backlog = Backlog::default();
     let view = view(0, 330);
-    let reservation = Reserved {
+    let reservation = Reservation {
         job: job(1),
         tokens: 40_000,
     };
@@ -333,15 +333,15 @@
     let now = Duration::from_secs(50);
     let mut backlog = Backlog::default();
     let full = view(LIMIT, 9);
+    assert_eq!(backlog.retry_after(now, ROUTE, 1000, full), RETRY_AFTER_MAX);
+    backlog.tokens_finished(now, ROUTE, 8_000);
+    let soon = backlog.retry_after(now, ROUTE, 1_000, full);
+    assert_eq!(soon, Duration::from_secs(2));
+    backlog.tokens_finished(now, ROUTE, 80_000);
     assert_eq!(
-        backlog.return_after(now, ROUTE, 1000, full),
-        RETRY_AFTER_MAX
+        backlog.retry_after(now, ROUTE, 1_000, full),
+        RETRY_AFTER_MIN
     );
-    backlog.finished(now, ROUTE, 8_000);
-    let soon = backlog.return_after(now, ROUTE, 1_000, full);
-    assert_eq!(soon, Duration::from_secs(2));
-    backlog.finished(now, ROUTE, 80_000);
-    assert_eq!(backlog.return_after(now, ROUTE, 1_000, full), RETURN_MIN);
 }
 
 quickcheck! {
--- a/tests/whole_events.rs
+++ b/tests/whole_events.rs
@@ -16,7 +16,7 @@
             (Some(8), "three".to_owned())
         ]
     );
-    assert!(splitter.partial());
+    assert!(splitter.has_partial());
 }
 
 quickcheck! {
@@ -37,6 +37,6 @@
             pieces.extend(splitter.push(&rest[..length]));
             rest = &rest[length..];
         }
-        pieces == whole && whole.len() == texts.len() && !splitter.partial()
+        pieces == whole && whole.len() == texts.len() && !splitter.has_partial()
     }
 }
