--- a/src/bin/bramley-standin.rs
+++ b/src/bin/bramley-standin.rs
@@ -1,4 +1,5 @@
-//! Runs one stand-in for an outside system, for tests and the demo.
+//! Runs one stand-in for an outside system (platform, model engine or plain service), for tests and
+//! the demo.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/src/standin.rs
+++ b/src/standin.rs
@@ -1,7 +1,8 @@
 //! Small stand-ins for the outside systems, for tests, benchmarks and the demo.
 //!
-//! They use the server towards callers: `tiny_http` leaves a new connection without a thread when two
-//! come at once while one thread is free, until some other connection closes.
+//! They use this crate's own HTTP server instead of `tiny_http`: when two connections arrive at
+//! once while only one of its threads is free, `tiny_http` leaves one of them without a thread
+//! until some other connection closes.
 
 pub mod engine;
 pub mod fleet;
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,6 +1,8 @@
-//! A model engine: continuous batching, a prefix cache, streams that resume and cancel.
+//! Stand-in for a model engine with continuous batching, a prefix cache, and streams that can be
+//! resumed and cancelled.
 //!
-//! Each step takes a time that grows with the running set; requests are let in as they come.
+//! The duration of a step grows with the number of running requests. Waiting requests are admitted
+//! between steps, as soon as a slot is free.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -20,42 +22,42 @@
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
 
-/// A stream that nobody reads for so long is given up.
+/// A sequence is cancelled when no client has read it for this long.
 const ORPHAN: Duration = Duration::from_secs(3);
 const KEPT: Duration = Duration::from_secs(10);
 const TOKENS_DEFAULT: u64 = 16;
 const PREFIX_BYTES: usize = 256;
 
-/// How the engine behaves; all may be changed while it runs.
+/// Simulated properties and faults of the engine; all can be changed while it runs (`/control`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Behaviour {
-    /// Requests in the running set.
+    /// Most requests that run at the same time.
     pub slots: usize,
     pub step_us: u64,
     pub step_us_per_request: u64,
     pub prefill_us_per_token: u64,
-    /// Prefixes in the cache; a cached one costs no prefill.
+    /// Number of prefixes in the cache; a prompt with a cached prefix costs no prefill time.
     pub cached_prefixes: usize,
-    /// Load reports are this old.
+    /// Age of the load that `/load` reports.
     pub report_lag_ms: u64,
     pub fencing_checked: bool,
     pub leaving: bool,
-    /// Takes requests and never answers them.
+    /// Accepts requests and never answers them.
     pub frozen: bool,
-    /// Steps take so many times longer.
+    /// Factor on the duration of each step.
     pub slow_factor: f64,
-    /// Connections of this many streams break after the next token.
+    /// Number of streams whose connection breaks after the next token; counts down.
     pub break_streams: u64,
-    /// Streams can't be resumed.
+    /// Requests to resume a stream are answered 404.
     pub no_resume: bool,
-    /// This many answers carry another request's id and text.
+    /// Number of answers that carry another request's id and text; counts down.
     pub swap_answers: u64,
-    /// This many whole answers are cut in the middle.
+    /// Number of non-streamed answers whose second half is blanked out; counts down.
     pub cut_answers: u64,
-    /// This many requests are answered 500.
+    /// Number of requests that are answered with status 500; counts down.
     pub fail_requests: u64,
-    /// A prompt with this text ends the process.
+    /// A prompt that contains this text ends the process.
     pub poison: String,
 }
 
@@ -82,7 +84,7 @@
     }
 }
 
-/// Counters since the start.
+/// Counters since the engine started.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Counts {
     pub requests: u64,
@@ -126,7 +128,7 @@
     incarnation: u64,
 }
 
-/// Starts the stand-in on an open listener.
+/// Starts the stand-in on an open listener and returns its address.
 pub fn serve(listener: TcpListener, behaviour: Behaviour) -> io::Result<SocketAddr> {
     let state = State {
         behaviour,
@@ -171,7 +173,8 @@
 }
 
 impl State {
-    /// Lets waiting requests in; returns what their prompts cost.
+    /// Admits waiting requests to free slots; returns the prefill time of their prompts in
+    /// microseconds.
     fn admit(&mut self) -> u64 {
         let mut cost_us = 0;
         while self.running.len() < self.behaviour.slots {
@@ -309,7 +312,8 @@
     Page::json(200, &json!({ "fence": state.fence }))
 }
 
-/// The text that the engine answers to a prompt: anyone can check whose answer it is.
+/// The engine's answer to a prompt. It is derived from the prompt, so that a test can check that an
+/// answer belongs to its request.
 pub fn answer_to(prompt: &str, tokens: u64) -> String {
     words(prompt, tokens).concat()
 }
@@ -405,7 +409,7 @@
     Cancelled,
 }
 
-/// Waits until the sequence is past `offset`.
+/// Waits until the sequence has tokens past `offset`, has finished or is cancelled.
 fn wait(shared: &Shared, id: &str, offset: usize) -> Seen {
     let mut state = lock(&shared.state);
     loop {
@@ -517,7 +521,7 @@
     });
     let mut body = body.to_string().into_bytes();
     if take(shared, |b| &mut b.cut_answers) {
-        // As long as announced, and not whole.
+        // The body keeps its announced length but is no longer valid JSON.
         let half = body.len() / 2;
         body[half..].fill(b' ');
     }
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -1,4 +1,5 @@
-//! A small fleet on loopback, as processes, for tests, benchmarks and the demo.
+//! Starts a small fleet on loopback, each VM and stand-in as a process of its own, for tests,
+//! benchmarks and the demo.
 
 pub mod answer;
 pub mod process;
@@ -24,7 +25,8 @@
 use crate::platform::Platform;
 
 const CLUSTER_KEY: &str = "a secret for tests on loopback only";
-/// Set, it leaves the folder with the logs of the processes.
+/// Environment variable; when set, the fleet's folder with settings and logs is not deleted at the
+/// end.
 const KEEP: &str = "BRAMLEY_KEEP";
 const START_PATIENCE: Duration = Duration::from_secs(15);
 const LOOK: Duration = Duration::from_millis(25);
@@ -32,21 +34,25 @@
 const PORT_FROM: u16 = 10_000;
 const PORT_COUNT: u16 = 20_000;
 
-/// What to start.
+/// Which processes a [`Fleet`] starts, and with which settings.
 #[derive(Debug, Clone)]
 pub struct Plan {
+    /// Number of failure domains; the counts below are per failure domain.
     pub failure_domains: usize,
     pub entries: usize,
     pub engines: usize,
-    /// Behaviour of the engines.
+    /// JSON object of the engines' [`Behaviour`](super::engine::Behaviour).
     pub behaviour: Value,
+    /// Whether the first entry VM of each failure domain gets a bulk process.
     pub bulk: bool,
+    /// Whether each entry VM gets a batch process.
     pub batch: bool,
-    /// Fields that replace those of the service `permit-desk`.
+    /// Fields that override those of the service `permit-desk`.
     pub service: Value,
-    /// Fields that replace those of the entries' settings.
+    /// Fields that override those of the entry VMs' settings.
     pub entry: Value,
-    /// Folder of the configuration; one is written when there is none.
+    /// Folder with the configuration to use; a default one is written when it is `None`. Endpoints
+    /// and failure domains are always those of this fleet.
     pub config: Option<PathBuf>,
 }
 
@@ -66,7 +72,7 @@
     }
 }
 
-/// All processes; dropped, it ends them.
+/// A running fleet. Dropping it kills all its processes.
 pub struct Fleet {
     pub folder: PathBuf,
     pub platform: SocketAddr,
@@ -80,13 +86,14 @@
     platform_process: Process,
 }
 
-/// Keys of the two workspaces.
+/// Names and keys of the two workspaces.
 pub const KEYS: [(&str, &str); 2] = [
     ("terrasse", "terrasse-key"),
     ("deck-works", "deck-works-key"),
 ];
 
-/// A port that is free for TCP and UDP.
+/// Returns a loopback address whose port is free for both TCP and UDP. Each process begins at
+/// another port, so that fleets of tests that run at the same time rarely compete for one.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU16 = AtomicU16::new(0);
     let start = (std::process::id() as u16).wrapping_mul(97);
@@ -108,7 +115,7 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until all entry VMs are ready.
+    /// Starts all processes and waits until all entry VMs are ready.
     pub fn start(name: &str, plan: &Plan) -> io::Result<Fleet> {
         let folder =
             std::env::temp_dir().join(format!("bramleyseam-{name}-{}", std::process::id()));
@@ -149,7 +156,8 @@
         Ok(())
     }
 
-    /// Writes the configuration with the stand-ins' addresses; returns its folder.
+    /// Writes the configuration with the addresses of this fleet's engines and services; returns
+    /// its folder.
     pub fn write_config(&self, plan: &Plan) -> io::Result<PathBuf> {
         let target = self.folder.join("config");
         fs::create_dir_all(&target)?;
@@ -232,7 +240,7 @@
         Ok(target)
     }
 
-    /// Applies a configuration folder, as `bramleyctl apply` does.
+    /// Applies a configuration folder, as `bramleyctl apply` does; returns the version applied.
     pub fn apply(&self, folder: &Path) -> io::Result<u64> {
         let state =
             load::folder(folder).map_err(|faults| io::Error::other(format!("{:?}", faults)))?;
@@ -278,7 +286,7 @@
             &[],
             body.as_bytes(),
         )?;
-        // The list lags until it is read once more.
+        // The platform's list of VMs is out of date until it is read once.
         for (name, domain, at) in &settings {
             self.start_vm(plan, name, *domain, at, &bulk)?;
         }
@@ -345,7 +353,7 @@
         Ok(())
     }
 
-    /// Waits until all entry VMs are ready and their batch processes linked.
+    /// Waits until all entry VMs are ready and, if there are any batch processes, linked to one.
     pub fn wait_ready(&self, patience: Duration) -> io::Result<()> {
         let until = clock::now() + patience;
         let batch = !self.batches.is_empty();
@@ -363,7 +371,7 @@
         Ok(())
     }
 
-    /// Calls an entry VM with the key of the first workspace.
+    /// Sends a request to an entry VM with the key of the first workspace.
     pub fn ask(&self, entry: usize, method: &str, path: &str, body: &str) -> io::Result<Answer> {
         self.ask_with(entry, method, path, &[], body)
     }
@@ -381,7 +389,7 @@
         call(address, method, path, KEYS[0].1, headers, body.as_bytes())
     }
 
-    /// Sends a job of chat items; its id.
+    /// Uploads a file of chat items and starts a job with it; returns the job's id.
     pub fn send_job(&self, entry: usize, lines: &str) -> io::Result<String> {
         let file = self.ask(entry, "POST", "/v1/files", lines)?;
         let file_id = file.json()["id"].as_str().map(str::to_owned);
@@ -392,7 +400,7 @@
         id.ok_or_else(|| io::Error::other(job.text()))
     }
 
-    /// Waits for a job's end; its last description.
+    /// Waits until a job has ended or the timeout has passed; returns its last description.
     pub fn wait_job(&self, entry: usize, job: &str, patience: Duration) -> Value {
         let until = clock::now() + patience;
         loop {
@@ -406,12 +414,12 @@
         }
     }
 
-    /// The platform's stand-in.
+    /// The process of the platform's stand-in.
     pub fn platform_process(&self) -> &Process {
         &self.platform_process
     }
 
-    /// All processes with their names.
+    /// All processes of the fleet.
     pub fn processes(&self) -> impl Iterator<Item = &Process> {
         let vms = self.entries.iter().chain(&self.batches).chain(&self.bulks);
         vms.chain(&self.engines)
@@ -439,7 +447,7 @@
     }
 }
 
-/// Lines of a job of chat items.
+/// Input file of a batch job with `count` chat items, one a line.
 pub fn chat_lines(count: usize, tokens: u64) -> String {
     let line = |at: usize| {
         json!({
--- a/src/standin/fleet/answer.rs
+++ b/src/standin/fleet/answer.rs
@@ -1,4 +1,4 @@
-//! Calls on processes of a fleet, and their answers.
+//! HTTP calls to processes of a fleet, and their answers.
 
 use super::*;
 use crate::http::header;
@@ -9,7 +9,7 @@
     pub status: u16,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// The body ended before its end.
+    /// Whether the connection failed before the whole body was read.
     pub cut: bool,
 }
 
@@ -24,13 +24,14 @@
         serde_json::from_slice(&self.body).unwrap_or(Value::Null)
     }
 
-    /// A header's value.
+    /// A header's value, if the answer has it.
     pub fn header(&self, name: &str) -> Option<&str> {
         header(&self.headers, name)
     }
 }
 
-/// Calls a process as an outside client would.
+/// Sends one request on a connection of its own, without following redirects. An empty `key` sends
+/// no `Authorization` header.
 pub fn call(
     address: SocketAddr,
     method: &str,
--- a/src/standin/fleet/process.rs
+++ b/src/standin/fleet/process.rs
@@ -1,13 +1,14 @@
-//! One process of a fleet.
+//! One process of a fleet: start, signals, and its operator and control pages.
 
 use super::*;
 
-/// One process.
+/// A VM process or a stand-in.
 pub struct Process {
     pub name: String,
     pub failure_domain: usize,
-    /// Towards callers, or towards the system for a stand-in.
+    /// Address for callers; of a stand-in, the address that it serves.
     pub address: SocketAddr,
+    /// Address for operators; stand-ins have none.
     pub operators: Option<SocketAddr>,
     binary: &'static str,
     arguments: Vec<String>,
@@ -42,7 +43,7 @@
         })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -53,28 +54,29 @@
         }
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process at once, as a crash would, and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks it to stop in order.
+    /// Asks the process for an orderly stop (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Freezes it.
+    /// Suspends the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Continues a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for its end; the exit code, or `None` when it was killed or goes on.
+    /// Waits for the process to end; returns its exit code, or `None` when a signal ended it or it
+    /// still runs after the timeout.
     pub fn wait(&mut self, patience: Duration) -> Option<i32> {
         let until = clock::now() + patience;
         while clock::now() < until {
@@ -86,18 +88,18 @@
         None
     }
 
-    /// Whether it runs.
+    /// Whether the process is running.
     pub fn runs(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Starts it again after its end, with the same settings.
+    /// Starts the process again after its end, with the same arguments and settings.
     pub fn restart(&mut self, folder: &Path) -> io::Result<()> {
         self.child = spawn(folder, &self.name, self.binary, &self.arguments)?;
         Ok(())
     }
 
-    /// A page of its operators' address.
+    /// Reads a JSON page from the operators' address; `Null` when that fails.
     pub fn page(&self, path: &str) -> Value {
         let Some(address) = self.operators else {
             return Value::Null;
@@ -106,7 +108,7 @@
         serde_json::from_str(&text.unwrap_or_default()).unwrap_or(Value::Null)
     }
 
-    /// Changes a stand-in's behaviour.
+    /// Changes the behaviour or faults of a stand-in.
     pub fn control(&self, change: Value) {
         let path = if self.name == "platform" {
             "/control/fault"
@@ -117,7 +119,7 @@
         let _ = call(self.address, "POST", path, "", &[], body.as_bytes());
     }
 
-    /// A stand-in's counters.
+    /// The counters of a stand-in; `Null` when they can't be read.
     pub fn stats(&self) -> Value {
         let text = call(self.address, "GET", "/stats", "", &[], b"").map(|answer| answer.text());
         serde_json::from_str(&text.unwrap_or_default()).unwrap_or(Value::Null)
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: key-value service, leases, watches, a lagging list of VMs; faults on request.
+//! Stand-in for the platform: a key-value store with leases and watches, and a list of VMs that may
+//! lag. Faults are injected through `/control/fault`.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -19,32 +20,32 @@
 
 const WATCH_MAX: Duration = Duration::from_secs(30);
 
-/// Faults that are switched on and off.
+/// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// Every call is answered 503.
+    /// Every call is answered with status 503.
     pub outage: bool,
-    /// Every call takes so much longer.
+    /// Delay added to every call.
     pub delay_ms: u64,
-    /// This many writes take effect and are not answered.
+    /// Number of writes that take effect but whose answer is cut off; counts down.
     pub lose_answers: u64,
-    /// Only writes of keys with this prefix are counted for `lose_answers`.
+    /// `lose_answers` applies only to writes of keys with this prefix.
     pub lose_prefix: String,
-    /// The list of VMs shows changes so much later.
+    /// Changes appear in the list of VMs after this delay.
     pub list_lag_ms: u64,
 }
 
-/// Calls since the last reset.
+/// Calls since the last reset (`/control/reset`).
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Calls {
     pub reads: u64,
     pub writes: u64,
     pub watches: u64,
     pub conflicts: u64,
-    /// Watches that wait now.
+    /// Watches that are open now.
     pub waiting: u64,
-    /// Writes by the first part of their key.
+    /// Writes by the first segment of their key.
     pub writes_by_prefix: BTreeMap<String, u64>,
 }
 
@@ -59,9 +60,10 @@
 struct State {
     revision: u64,
     keys: BTreeMap<String, Stored>,
-    /// Lease and when it lapses.
+    /// By lease: the time when it lapses and its duration.
     leases: HashMap<u64, (Duration, Duration)>,
     next_lease: u64,
+    /// The list of VMs as last set; `shown_vms` becomes equal to it at `show_at`.
     vms: Vec<ListedVm>,
     shown_vms: Vec<ListedVm>,
     show_at: Option<Duration>,
@@ -75,7 +77,7 @@
     changed: Condvar,
 }
 
-/// Starts the stand-in on an open listener.
+/// Starts the stand-in on an open listener and returns its address.
 pub fn serve(listener: TcpListener) -> io::Result<SocketAddr> {
     let shared = Arc::new(Shared::default());
     super::serve(listener, move |request, out| handle(&shared, request, out))
@@ -205,7 +207,7 @@
     drop(state);
     shared.changed.notify_all();
     if lose {
-        // Half an answer: the caller can't tell what happened.
+        // The answer is cut off, so that the caller can't tell whether the write took effect.
         return out.raw(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{");
     }
     Page::json(200, &json!({ "revision": revision })).reply(out)
--- a/src/standin/relay.rs
+++ b/src/standin/relay.rs
@@ -1,4 +1,5 @@
-//! A TCP relay that can be cut, in the place of a network link.
+//! A TCP relay that stands for a network link and can delay, hold back, reset or cut its
+//! connections.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -11,45 +12,47 @@
 use crate::clock;
 use crate::util::lock;
 
-/// How a link carries bytes.
+/// How a link forwards bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Mode {
     #[default]
     Open,
-    /// Bytes come so much later.
+    /// Bytes are delivered this much later.
     Delayed(Duration),
-    /// What clients send stays on the way, until the link is open again.
+    /// Bytes from clients are held until the mode changes.
     SilentUp,
-    /// What comes back stays on the way.
+    /// Bytes from the server are held until the mode changes.
     SilentDown,
+    /// Bytes of both directions are held until the mode changes.
     Silent,
 }
 
-/// Time between two looks at a silent link.
+/// Interval at which a held direction checks whether it may forward again.
 const LOOK: Duration = Duration::from_millis(5);
 
-/// Which way a connection has gone silent.
+/// Direction in which a connection permanently stops forwarding, without being closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Silence {
     Both,
-    /// What clients send is lost.
+    /// From client to server.
     Up,
-    /// What comes back is lost.
+    /// From server to client.
     Down,
 }
 
-/// One connection over a link.
+/// One open connection over a link.
 struct Open {
     ends: [TcpStream; 2],
     state: Arc<State>,
 }
 
-/// What both directions of a connection share. Once silent, nothing arrives any more and nobody is told.
+/// State that both directions of a connection share. A silent direction forwards nothing any more,
+/// and neither end sees the connection close.
 #[derive(Default)]
 struct State {
     silent_up: AtomicBool,
     silent_down: AtomicBool,
-    /// When it last carried anything, in milliseconds of the steady clock.
+    /// When the connection last received bytes, in milliseconds of the monotonic clock.
     used_ms: AtomicU64,
 }
 
@@ -83,7 +86,7 @@
     clock::now().as_millis() as u64
 }
 
-/// One link.
+/// A link from a local port to one server. Clones control the same link.
 #[derive(Clone)]
 pub struct Relay {
     pub address: SocketAddr,
@@ -91,12 +94,12 @@
     mode: Arc<Mutex<Mode>>,
     open: Arc<Mutex<HashMap<u64, Open>>>,
     next: Arc<AtomicU64>,
-    /// So many more connections are silent from the start.
+    /// Number of further connections that will be silent from the start.
     silent_next: Arc<AtomicU32>,
 }
 
 impl Relay {
-    /// Starts a link to `target`.
+    /// Starts a link to `target` on a free local port.
     pub fn start(target: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let relay = Relay {
@@ -148,31 +151,32 @@
                 dead || matches!(mode, Mode::Silent | Mode::SilentDown)
             };
             copy(server, client, &down, &state_down, silent);
-            // Its descriptors are free again.
+            // Closes the copies of both sockets that are kept for `reset`.
             lock(&open).remove(&id);
         });
         Ok(())
     }
 
-    /// Changes how the link carries bytes, also those of connections that are open.
+    /// Changes how the link forwards bytes, also for connections that are already open.
     pub fn set(&self, mode: Mode) {
         *lock(&self.mode) = mode;
     }
 
-    /// Resets all connections; new ones can be opened.
+    /// Closes all connections; new ones can be opened.
     pub fn reset(&self) {
         for stream in lock(&self.open).drain().flat_map(|(_, open)| open.ends) {
-            // It may be closed by now.
+            // Fails when the connection has been closed by one of its ends.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Connections that are open go silent for good; new ones work.
+    /// Makes all open connections silent in both directions for good; new connections work.
     pub fn silence_open(&self) {
         self.silence_idle(Duration::ZERO, Silence::Both);
     }
 
-    /// Open connections that have carried nothing for `idle` go silent for good; those in use and new ones work.
+    /// Makes open connections that have received nothing for `idle` silent for good; busy and new
+    /// connections work.
     pub fn silence_idle(&self, idle: Duration, silence: Silence) {
         for open in lock(&self.open).values() {
             if open.state.idle() >= idle {
@@ -181,7 +185,7 @@
         }
     }
 
-    /// The next `count` connections are silent from the start.
+    /// Makes the next `count` connections silent in both directions from the start.
     pub fn silence_next(&self, count: u32) {
         self.silent_next.store(count, Ordering::SeqCst);
     }
@@ -193,7 +197,8 @@
             .is_ok()
     }
 
-    /// Cuts or heals the link; connections that are open break.
+    /// Cuts or restores the link. While it is cut, new connections are closed at once; cutting it
+    /// also closes the open ones.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         if cut {
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts its executions by key.
+//! Stand-in for a plain service, which counts its executions by idempotency key.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,19 +14,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Faults that are switched on and off.
+/// Faults to inject; the numbers of calls count down.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// Time that a call takes.
     pub delay_ms: u64,
-    /// This many calls are executed and not answered.
+    /// Number of calls that are executed and whose connection is then closed without an answer.
     pub lose_answers: u64,
-    /// This many calls are executed and answered in part.
+    /// Number of calls that are executed and answered with a truncated body.
     pub cut_answers: u64,
-    /// This many calls are answered 503 without being executed.
+    /// Number of calls that are answered with status 503 without being executed.
     pub refuse: u64,
-    /// This many calls are answered with a redirect to `/elsewhere`.
+    /// Number of calls that are executed and answered with a redirect to `/elsewhere`.
     pub redirect: u64,
     pub leaving: bool,
 }
@@ -37,7 +37,7 @@
     executions: BTreeMap<String, u64>,
 }
 
-/// Starts the stand-in on an open listener.
+/// Starts the stand-in on an open listener and returns its address.
 pub fn serve(listener: TcpListener) -> io::Result<SocketAddr> {
     let state = Arc::new(Mutex::new(State::default()));
     super::serve(listener, move |request, out| handle(&state, request, out))
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -1,9 +1,10 @@
-//! Endpoints for tables, in tests and benchmarks of decisions.
+//! Endpoint configurations for tests and benchmarks of the decision code.
 
 use crate::decide::endpoints::EndpointConfig;
 use crate::id::{self, DomainId, EndpointId, ServiceId};
 
-/// Endpoints `endpoint-0` and on of one service, each in the failure domain that `domain` gives it.
+/// Yields the endpoints `endpoint-0`, `endpoint-1`, ... of one service, each in the failure domain
+/// that `domain` returns for its number.
 pub fn declared(
     count: usize,
     service: ServiceId,
