--- a/src/bin/bramley-standin.rs
+++ b/src/bin/bramley-standin.rs
@@ -38,7 +38,7 @@
 fn main() -> ExitCode {
     let behaviour = Arg::new("behaviour")
         .long("behaviour")
-        .help("JSON object of its behaviour");
+        .help("JSON object with the behaviour to change from the default");
     let matches = Command::new("bramley-standin")
         .version(env!("CARGO_PKG_VERSION"))
         .subcommand_required(true)
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -23,16 +23,18 @@
 use serde_json::{json, Value};
 
 /// A sequence is cancelled when no client has read it for this long.
-const ORPHAN: Duration = Duration::from_secs(3);
-const KEPT: Duration = Duration::from_secs(10);
-const TOKENS_DEFAULT: u64 = 16;
-const PREFIX_BYTES: usize = 256;
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a finished sequence can still be read.
+const FINISHED_KEPT_FOR: Duration = Duration::from_secs(10);
+const DEFAULT_TOKENS: u64 = 16;
+/// Prompts that agree in this many characters share a prefix in the cache.
+const PREFIX_CHARS: usize = 256;
 
 /// Simulated properties and faults of the engine; all can be changed while it runs (`/control`).
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Behaviour {
-    /// Most requests that run at the same time.
+    /// Largest number of requests that run at the same time.
     pub slots: usize,
     pub step_us: u64,
     pub step_us_per_request: u64,
@@ -97,14 +99,17 @@
     pub orders_refused: u64,
 }
 
+/// One request and the progress of its answer.
 #[derive(Debug)]
 struct Sequence {
-    words: Vec<String>,
+    tokens: Vec<String>,
     prompt_tokens: u64,
     prefix: u64,
+    /// Number of `tokens` generated so far.
     emitted: usize,
     cancelled: bool,
     finished_at: Option<Duration>,
+    /// When a client last asked for tokens.
     read_at: Duration,
 }
 
@@ -116,8 +121,10 @@
     running: Vec<String>,
     cache: VecDeque<u64>,
     counts: Counts,
+    /// Time, running and waiting requests; the first is what `/load` reports.
     reports: VecDeque<(Duration, usize, usize)>,
     models: Vec<String>,
+    /// Fence of the last accepted order; lower ones are refused.
     fence: u64,
 }
 
@@ -139,10 +146,10 @@
         changed: Condvar::new(),
         incarnation: clock::unix_ms(),
     });
-    let stepping = shared.clone();
+    let step_shared = shared.clone();
     thread::Builder::new()
         .name("steps".into())
-        .spawn(move || step_loop(&stepping))?;
+        .spawn(move || step_loop(&step_shared))?;
     super::serve(listener, move |request, out| handle(&shared, request, out))
 }
 
@@ -150,9 +157,9 @@
     loop {
         let mut state = lock(&shared.state);
         let now = clock::now();
-        state.forget(now);
+        state.remove_finished(now);
         if state.behaviour.frozen || (state.running.is_empty() && state.waiting.is_empty()) {
-            state.note_load(now);
+            state.record_load(now);
             let _ = shared
                 .changed
                 .wait_timeout(state, Duration::from_millis(20));
@@ -164,10 +171,10 @@
             + behaviour.step_us_per_request * state.running.len() as u64
             + prefill_us;
         let step = Duration::from_micros(step_us).mul_f64(behaviour.slow_factor);
-        state.note_load(now);
+        state.record_load(now);
         drop(state);
         clock::sleep(step);
-        lock(&shared.state).emit(clock::now());
+        lock(&shared.state).emit_tokens(clock::now());
         shared.changed.notify_all();
     }
 }
@@ -204,13 +211,14 @@
         cost_us
     }
 
-    fn emit(&mut self, now: Duration) {
+    /// Ends a step: each running sequence gets one token, finishes or is dropped if cancelled.
+    fn emit_tokens(&mut self, now: Duration) {
         let running = std::mem::take(&mut self.running);
         for id in running {
             let Some(sequence) = self.sequences.get_mut(&id) else {
                 continue;
             };
-            if now >= sequence.read_at + ORPHAN {
+            if now >= sequence.read_at + UNREAD_TIMEOUT {
                 sequence.cancelled = true;
             }
             if sequence.cancelled {
@@ -220,7 +228,7 @@
             }
             sequence.emitted += 1;
             self.counts.tokens += 1;
-            if sequence.emitted < sequence.words.len() {
+            if sequence.emitted < sequence.tokens.len() {
                 self.running.push(id);
             } else {
                 sequence.finished_at = Some(now);
@@ -229,7 +237,7 @@
         }
     }
 
-    fn note_load(&mut self, now: Duration) {
+    fn record_load(&mut self, now: Duration) {
         let load = (now, self.running.len(), self.waiting.len());
         self.reports.push_back(load);
         let lag = Duration::from_millis(self.behaviour.report_lag_ms);
@@ -238,9 +246,9 @@
         }
     }
 
-    fn forget(&mut self, now: Duration) {
+    fn remove_finished(&mut self, now: Duration) {
         self.sequences
-            .retain(|_, s| s.finished_at.is_none_or(|at| now < at + KEPT));
+            .retain(|_, s| s.finished_at.is_none_or(|at| now < at + FINISHED_KEPT_FOR));
     }
 }
 
@@ -315,10 +323,10 @@
 /// The engine's answer to a prompt. It is derived from the prompt, so that a test can check that an
 /// answer belongs to its request.
 pub fn answer_to(prompt: &str, tokens: u64) -> String {
-    words(prompt, tokens).concat()
+    answer_tokens(prompt, tokens).concat()
 }
 
-fn words(prompt: &str, tokens: u64) -> Vec<String> {
+fn answer_tokens(prompt: &str, tokens: u64) -> Vec<String> {
     let hash = id::of(prompt);
     (0..tokens.max(1))
         .map(|at| format!("{:x}.{at} ", hash % 0x10000))
@@ -340,7 +348,7 @@
     let tokens = body
         .get("max_tokens")
         .and_then(Value::as_u64)
-        .unwrap_or(TOKENS_DEFAULT);
+        .unwrap_or(DEFAULT_TOKENS);
     let attempt = request
         .header(ATTEMPT_HEADER)
         .unwrap_or_default()
@@ -359,9 +367,9 @@
         drop(state);
         return Page::text(500, "failed").reply(out);
     }
-    let prefix: String = prompt.chars().take(PREFIX_BYTES).collect();
+    let prefix: String = prompt.chars().take(PREFIX_CHARS).collect();
     let sequence = Sequence {
-        words: words(&prompt, tokens),
+        tokens: answer_tokens(&prompt, tokens),
         prompt_tokens: prompt.len() as u64 / 4 + 1,
         prefix: id::of(&prefix),
         emitted: 0,
@@ -375,7 +383,7 @@
     shared.changed.notify_all();
     match body.get("stream").and_then(Value::as_bool) {
         Some(true) => send_stream(shared, out, &attempt, 0),
-        _ => whole(shared, out, &attempt),
+        _ => send_whole(shared, out, &attempt),
     }
 }
 
@@ -396,39 +404,42 @@
 fn resume(shared: &Shared, request: &Request, out: &mut Responder) -> io::Result<()> {
     let id = request.path().split('/').nth(2).unwrap_or_default();
     let state = lock(&shared.state);
-    let known = state.sequences.contains_key(id) && !state.behaviour.no_resume;
+    let resumable = state.sequences.contains_key(id) && !state.behaviour.no_resume;
     drop(state);
-    match known {
+    match resumable {
         true => send_stream(shared, out, id, number(request, "offset") as usize),
         false => Page::text(404, "no such attempt").reply(out),
     }
 }
 
-enum Seen {
-    Words(Vec<String>, bool),
+/// What a client has not read yet of a sequence.
+enum Progress {
+    /// New tokens, and whether they are the last.
+    Tokens(Vec<String>, bool),
     Cancelled,
 }
 
 /// Waits until the sequence has tokens past `offset`, has finished or is cancelled.
-fn wait(shared: &Shared, id: &str, offset: usize) -> Seen {
+fn wait_for_tokens(shared: &Shared, id: &str, offset: usize) -> Progress {
     let mut state = lock(&shared.state);
     loop {
         let Some(sequence) = state.sequences.get_mut(id) else {
-            return Seen::Cancelled;
+            return Progress::Cancelled;
         };
         sequence.read_at = clock::now();
-        if sequence.emitted > offset || sequence.emitted == sequence.words.len() {
-            let fresh = sequence.words[offset.min(sequence.emitted)..sequence.emitted].to_vec();
-            return Seen::Words(fresh, sequence.emitted == sequence.words.len());
+        if sequence.emitted > offset || sequence.emitted == sequence.tokens.len() {
+            let new_tokens =
+                sequence.tokens[offset.min(sequence.emitted)..sequence.emitted].to_vec();
+            return Progress::Tokens(new_tokens, sequence.emitted == sequence.tokens.len());
         }
         if sequence.cancelled {
-            return Seen::Cancelled;
+            return Progress::Cancelled;
         }
-        state = pause(shared, state);
+        state = wait_for_change(shared, state);
     }
 }
 
-fn pause<'a>(shared: &'a Shared, state: MutexGuard<'a, State>) -> MutexGuard<'a, State> {
+fn wait_for_change<'a>(shared: &'a Shared, state: MutexGuard<'a, State>) -> MutexGuard<'a, State> {
     match shared
         .changed
         .wait_timeout(state, Duration::from_millis(100))
@@ -438,45 +449,46 @@
     }
 }
 
-fn take(shared: &Shared, pick: impl Fn(&mut Behaviour) -> &mut u64) -> bool {
+/// Takes one from a counter of faults; false when it is zero.
+fn take_one(shared: &Shared, counter: impl Fn(&mut Behaviour) -> &mut u64) -> bool {
     let mut state = lock(&shared.state);
-    let count = pick(&mut state.behaviour);
-    let any = *count > 0;
+    let count = counter(&mut state.behaviour);
+    let taken = *count > 0;
     *count = count.saturating_sub(1);
-    any
+    taken
 }
 
 fn send_stream(shared: &Shared, out: &mut Responder, id: &str, offset: usize) -> io::Result<()> {
     let mut at = offset;
     let mut swapped = false;
     loop {
-        let (fresh, finished) = match wait(shared, id, at) {
-            Seen::Words(fresh, finished) => (fresh, finished),
-            Seen::Cancelled => (Vec::new(), false),
+        let (new_tokens, finished) = match wait_for_tokens(shared, id, at) {
+            Progress::Tokens(new_tokens, finished) => (new_tokens, finished),
+            Progress::Cancelled => (Vec::new(), false),
         };
         if !out.started() {
-            swapped = take(shared, |b| &mut b.swap_answers);
+            swapped = take_one(shared, |b| &mut b.swap_answers);
             let echoed = if swapped { "another" } else { id };
             out.start(&Head::new(200, "text/event-stream").with(ATTEMPT_HEADER, echoed))?;
         }
-        if fresh.is_empty() && !finished {
+        if new_tokens.is_empty() && !finished {
             out.chunk(b"data: {\"error\":{\"code\":\"cancelled\"}}\n\n")?;
             return out.end();
         }
-        for word in fresh {
-            let word = if swapped {
+        for token in new_tokens {
+            let token = if swapped {
                 "another's ".to_owned()
             } else {
-                word
+                token
             };
             let chunk = json!({
                 "id": id,
                 "object": "chat.completion.chunk",
-                "choices": [{ "index": 0, "delta": { "content": word }, "finish_reason": null }],
+                "choices": [{ "index": 0, "delta": { "content": token }, "finish_reason": null }],
             });
             at += 1;
             out.chunk(format!("id: {at}\ndata: {chunk}\n\n").as_bytes())?;
-            if take(shared, |b| &mut b.break_streams) {
+            if take_one(shared, |b| &mut b.break_streams) {
                 return Err(io::ErrorKind::ConnectionAborted.into());
             }
         }
@@ -487,25 +499,25 @@
     }
 }
 
-fn whole(shared: &Shared, out: &mut Responder, id: &str) -> io::Result<()> {
+fn send_whole(shared: &Shared, out: &mut Responder, id: &str) -> io::Result<()> {
     let mut text = String::new();
     let mut at = 0;
     loop {
-        match wait(shared, id, at) {
-            Seen::Cancelled => {
+        match wait_for_tokens(shared, id, at) {
+            Progress::Cancelled => {
                 return Page::json(409, &json!({ "error": { "code": "cancelled" } })).reply(out);
             }
-            Seen::Words(fresh, finished) => {
-                at += fresh.len();
-                text.push_str(&fresh.concat());
+            Progress::Tokens(new_tokens, finished) => {
+                at += new_tokens.len();
+                text.push_str(&new_tokens.concat());
                 if finished {
                     break;
                 }
             }
         }
     }
-    let swap = take(shared, |b| &mut b.swap_answers);
-    let (echoed, text) = match swap {
+    let swapped = take_one(shared, |b| &mut b.swap_answers);
+    let (echoed, text) = match swapped {
         true => ("another", "another's text".to_owned()),
         false => (id, text),
     };
@@ -520,7 +532,7 @@
         "usage": { "completion_tokens": at },
     });
     let mut body = body.to_string().into_bytes();
-    if take(shared, |b| &mut b.cut_answers) {
+    if take_one(shared, |b| &mut b.cut_answers) {
         // The body keeps its announced length but is no longer valid JSON.
         let half = body.len() / 2;
         body[half..].fill(b' ');
--- a/src/standin/fleet.rs
+++ b/src/standin/fleet.rs
@@ -16,7 +16,7 @@
 use serde_json::{json, Value};
 
 pub use self::answer::{call, Answer};
-use self::process::standin;
+use self::process::start_standin;
 pub use self::process::Process;
 use super::relay::Relay;
 use crate::clock;
@@ -27,11 +27,11 @@
 const CLUSTER_KEY: &str = "a secret for tests on loopback only";
 /// Environment variable; when set, the fleet's folder with settings and logs is not deleted at the
 /// end.
-const KEEP: &str = "BRAMLEY_KEEP";
-const START_PATIENCE: Duration = Duration::from_secs(15);
-const LOOK: Duration = Duration::from_millis(25);
+const KEEP_FOLDER_VARIABLE: &str = "BRAMLEY_KEEP";
+const START_TIMEOUT: Duration = Duration::from_secs(15);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 const CALL_TIMEOUT: Duration = Duration::from_secs(60);
-const PORT_FROM: u16 = 10_000;
+const FIRST_PORT: u16 = 10_000;
 const PORT_COUNT: u16 = 20_000;
 
 /// Which processes a [`Fleet`] starts, and with which settings.
@@ -99,16 +99,17 @@
     let start = (std::process::id() as u16).wrapping_mul(97);
     loop {
         let number = start.wrapping_add(NEXT.fetch_add(1, Ordering::SeqCst)) % PORT_COUNT;
-        let address = SocketAddr::from(([127, 0, 0, 1], PORT_FROM + number));
+        let address = SocketAddr::from(([127, 0, 0, 1], FIRST_PORT + number));
         if TcpListener::bind(address).is_ok() && UdpSocket::bind(address).is_ok() {
             return address;
         }
     }
 }
 
-fn merge(base: Value, change: &Value) -> Value {
+/// Replaces top-level fields of `base` by those of `overrides`.
+fn merge(base: Value, overrides: &Value) -> Value {
     let mut base = base;
-    for (field, value) in change.as_object().into_iter().flatten() {
+    for (field, value) in overrides.as_object().into_iter().flatten() {
         base[field] = value.clone();
     }
     base
@@ -121,7 +122,7 @@
             std::env::temp_dir().join(format!("bramleyseam-{name}-{}", std::process::id()));
         let _ = fs::remove_dir_all(&folder);
         fs::create_dir_all(&folder)?;
-        let platform_process = standin("platform", 0, &["platform"])?;
+        let platform_process = start_standin("platform", 0, &["platform"])?;
         let platform = platform_process.address;
         let mut fleet = Fleet {
             folder,
@@ -134,25 +135,26 @@
             links: Vec::new(),
             platform_process,
         };
-        fleet.start_outside(plan)?;
+        fleet.start_standins(plan)?;
         let config = fleet.write_config(plan)?;
         fleet.apply(&config)?;
         fleet.start_vms(plan)?;
-        fleet.wait_ready(START_PATIENCE)?;
+        fleet.wait_ready(START_TIMEOUT)?;
         Ok(fleet)
     }
 
-    fn start_outside(&mut self, plan: &Plan) -> io::Result<()> {
+    fn start_standins(&mut self, plan: &Plan) -> io::Result<()> {
         let behaviour = plan.behaviour.to_string();
         for domain in 0..plan.failure_domains {
             self.links.push(Relay::start(self.platform)?);
             for engine in 0..plan.engines {
                 let name = format!("engine-{domain}-{engine}");
                 let arguments = ["engine", "--behaviour", &behaviour];
-                self.engines.push(standin(&name, domain, &arguments)?);
+                self.engines.push(start_standin(&name, domain, &arguments)?);
             }
         }
-        self.services.push(standin("registry-1", 0, &["service"])?);
+        self.services
+            .push(start_standin("registry-1", 0, &["service"])?);
         Ok(())
     }
 
@@ -249,7 +251,9 @@
         let applied = store::apply(&platform, base, &state, "test", Duration::from_secs(5));
         match applied.map_err(io::Error::other)? {
             store::Applied::Won(head) => Ok(head.version),
-            store::Applied::Lost(_) => Err(io::Error::other("another version stands")),
+            store::Applied::Lost(_) => {
+                Err(io::Error::other("another version was applied meanwhile"))
+            }
         }
     }
 
@@ -260,6 +264,7 @@
         for domain in 0..plan.failure_domains {
             for entry in 0..plan.entries {
                 let name = format!("vm-{domain}-{entry}");
+                // For gossip, peers, local calls, operators, callers, bulk peers, batch operators.
                 let addresses: Vec<SocketAddr> = (0..7).map(|_| free_address()).collect();
                 if plan.bulk && entry == 0 {
                     bulk.push(json!({
@@ -287,8 +292,8 @@
             body.as_bytes(),
         )?;
         // The platform's list of VMs is out of date until it is read once.
-        for (name, domain, at) in &settings {
-            self.start_vm(plan, name, *domain, at, &bulk)?;
+        for (name, domain, addresses) in &settings {
+            self.start_vm(plan, name, *domain, addresses, &bulk)?;
         }
         Ok(())
     }
@@ -298,7 +303,7 @@
         plan: &Plan,
         name: &str,
         domain: usize,
-        at: &[SocketAddr],
+        addresses: &[SocketAddr],
         bulk: &[Value],
     ) -> io::Result<()> {
         let common = json!({
@@ -314,48 +319,67 @@
         let entry = merge(
             with_platform.clone(),
             &json!({
-                "gossip_address": at[0],
-                "peer_address": at[1],
-                "local_address": at[2],
-                "operators_address": at[3],
-                "caller_address": at[4],
+                "gossip_address": addresses[0],
+                "peer_address": addresses[1],
+                "local_address": addresses[2],
+                "operators_address": addresses[3],
+                "caller_address": addresses[4],
                 "drain_ms": 500,
             }),
         );
         let entry = merge(entry, &plan.entry);
-        let process = Process::start(&self.folder, name, domain, "bramley-entry", &entry, at[4])?;
+        let process = Process::start(
+            &self.folder,
+            name,
+            domain,
+            "bramley-entry",
+            &entry,
+            addresses[4],
+        )?;
         self.entries.push(process);
         if plan.batch {
             let batch = merge(
                 with_platform,
-                &json!({ "entry_address": at[2], "operators_address": at[6] }),
+                &json!({ "entry_address": addresses[2], "operators_address": addresses[6] }),
             );
             let name = format!("{name}-batch");
-            let process =
-                Process::start(&self.folder, &name, domain, "bramley-batch", &batch, at[2])?;
+            let process = Process::start(
+                &self.folder,
+                &name,
+                domain,
+                "bramley-batch",
+                &batch,
+                addresses[2],
+            )?;
             self.batches.push(process);
         }
         if bulk.iter().any(|peer| peer["name"] == *name) {
             let bulk = merge(
                 common,
                 &json!({
-                    "peer_address": at[5],
+                    "peer_address": addresses[5],
                     "operators_address": free_address(),
                     "data_dir": self.folder.join(format!("{name}-data")),
                     "repair_ms": 1_000,
                 }),
             );
             let name = format!("{name}-bulk");
-            let process =
-                Process::start(&self.folder, &name, domain, "bramley-bulk", &bulk, at[5])?;
+            let process = Process::start(
+                &self.folder,
+                &name,
+                domain,
+                "bramley-bulk",
+                &bulk,
+                addresses[5],
+            )?;
             self.bulks.push(process);
         }
         Ok(())
     }
 
     /// Waits until all entry VMs are ready and, if there are any batch processes, linked to one.
-    pub fn wait_ready(&self, patience: Duration) -> io::Result<()> {
-        let until = clock::now() + patience;
+    pub fn wait_ready(&self, timeout: Duration) -> io::Result<()> {
+        let deadline = clock::now() + timeout;
         let batch = !self.batches.is_empty();
         let ready = |process: &Process| {
             let dump = process.page("/dump");
@@ -363,10 +387,10 @@
             dump["ready"].get("Ok").is_some() && linked
         };
         while !self.entries.iter().all(ready) {
-            if clock::now() >= until {
+            if clock::now() >= deadline {
                 return Err(io::Error::other("the entry VMs did not become ready"));
             }
-            clock::sleep(LOOK);
+            clock::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -401,16 +425,16 @@
     }
 
     /// Waits until a job has ended or the timeout has passed; returns its last description.
-    pub fn wait_job(&self, entry: usize, job: &str, patience: Duration) -> Value {
-        let until = clock::now() + patience;
+    pub fn wait_job(&self, entry: usize, job: &str, timeout: Duration) -> Value {
+        let deadline = clock::now() + timeout;
         loop {
-            let shown = self.ask(entry, "GET", &format!("/v1/batches/{job}"), "");
-            let shown = shown.map(|answer| answer.json()).unwrap_or(Value::Null);
-            let status = shown["status"].as_str().unwrap_or_default();
-            if ["completed", "cancelled", "expired"].contains(&status) || clock::now() >= until {
-                return shown;
+            let answer = self.ask(entry, "GET", &format!("/v1/batches/{job}"), "");
+            let description = answer.map(|answer| answer.json()).unwrap_or(Value::Null);
+            let status = description["status"].as_str().unwrap_or_default();
+            if ["completed", "cancelled", "expired"].contains(&status) || clock::now() >= deadline {
+                return description;
             }
-            clock::sleep(LOOK * 2);
+            clock::sleep(POLL_INTERVAL * 2);
         }
     }
 
@@ -441,7 +465,7 @@
             processes.iter_mut().for_each(Process::kill);
         }
         self.platform_process.kill();
-        if std::env::var_os(KEEP).is_none() {
+        if std::env::var_os(KEEP_FOLDER_VARIABLE).is_none() {
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
--- a/src/standin/fleet/process.rs
+++ b/src/standin/fleet/process.rs
@@ -77,19 +77,19 @@
 
     /// Waits for the process to end; returns its exit code, or `None` when a signal ended it or it
     /// still runs after the timeout.
-    pub fn wait(&mut self, patience: Duration) -> Option<i32> {
-        let until = clock::now() + patience;
-        while clock::now() < until {
+    pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
+        let deadline = clock::now() + timeout;
+        while clock::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
-            clock::sleep(LOOK);
+            clock::sleep(POLL_INTERVAL);
         }
         None
     }
 
     /// Whether the process is running.
-    pub fn runs(&mut self) -> bool {
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
@@ -126,6 +126,7 @@
     }
 }
 
+/// The folder of the running executable; for a test, the one above its `deps`.
 fn binary_folder() -> PathBuf {
     let mut folder = std::env::current_exe().unwrap_or_default();
     folder.pop();
@@ -135,7 +136,8 @@
     folder
 }
 
-pub(super) fn standin(name: &str, domain: usize, arguments: &[&str]) -> io::Result<Process> {
+/// Starts a stand-in and reads its address from its first line of output.
+pub(super) fn start_standin(name: &str, domain: usize, arguments: &[&str]) -> io::Result<Process> {
     let arguments: Vec<String> = arguments.iter().map(|a| (*a).to_owned()).collect();
     let mut child = Command::new(binary_folder().join("bramley-standin"))
         .args(&arguments)
@@ -150,7 +152,11 @@
         .trim()
         .strip_prefix("address ")
         .and_then(|text| text.parse().ok());
-    let address = address.ok_or_else(|| io::Error::other(format!("{name} said {line:?}")))?;
+    let address = address.ok_or_else(|| {
+        io::Error::other(format!(
+            "{name}: expected its address on standard output, got {line:?}"
+        ))
+    })?;
     Ok(Process {
         name: name.to_owned(),
         failure_domain: domain,
@@ -167,10 +173,10 @@
         .create(true)
         .append(true)
         .open(folder.join(format!("{name}.log")))?;
-    let quiet = File::options().append(true).open("/dev/null")?;
+    let null = File::options().append(true).open("/dev/null")?;
     Command::new(binary_folder().join(binary))
         .args(arguments)
         .stderr(log)
-        .stdout(quiet)
+        .stdout(null)
         .spawn()
 }
--- a/src/standin/platform.rs
+++ b/src/standin/platform.rs
@@ -18,7 +18,7 @@
 use crate::platform::{Changes, Entry, ListedVm, VALUE_BYTES};
 use crate::util::{lock, unescape};
 
-const WATCH_MAX: Duration = Duration::from_secs(30);
+const WATCH_WAIT_MAX: Duration = Duration::from_secs(30);
 
 /// Faults to inject.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
@@ -66,7 +66,7 @@
     /// The list of VMs as last set; `shown_vms` becomes equal to it at `show_at`.
     vms: Vec<ListedVm>,
     shown_vms: Vec<ListedVm>,
-    show_at: Option<Duration>,
+    show_vms_at: Option<Duration>,
     faults: Faults,
     calls: Calls,
 }
@@ -122,7 +122,7 @@
         "/control/vms" => match serde_json::from_slice(body) {
             Ok(vms) => {
                 state.vms = vms;
-                state.show_at =
+                state.show_vms_at =
                     Some(clock::now() + Duration::from_millis(state.faults.list_lag_ms));
             }
             Err(error) => return Page::text(400, error.to_string()),
@@ -141,7 +141,7 @@
 impl State {
     fn expire_leases(&mut self, now: Duration) {
         self.leases.retain(|_, (until, _)| *until > now);
-        let gone: Vec<String> = self
+        let expired: Vec<String> = self
             .keys
             .iter()
             .filter(|(_, s)| {
@@ -150,7 +150,7 @@
             })
             .map(|(key, _)| key.clone())
             .collect();
-        for key in gone {
+        for key in expired {
             self.keys.remove(&key);
             self.revision += 1;
         }
@@ -182,11 +182,11 @@
     state.calls.writes += 1;
     let prefix = key.split('/').next().unwrap_or_default().to_owned();
     *state.calls.writes_by_prefix.entry(prefix).or_default() += 1;
-    let standing = state.keys.get(key).map_or(0, |stored| stored.revision);
-    if standing != number(request, "expect") {
+    let current = state.keys.get(key).map_or(0, |stored| stored.revision);
+    if current != number(request, "expect") {
         state.calls.conflicts += 1;
         drop(state);
-        return Page::json(409, &json!({ "revision": standing })).reply(out);
+        return Page::json(409, &json!({ "revision": current })).reply(out);
     }
     state.revision += 1;
     let revision = state.revision;
@@ -200,13 +200,13 @@
             lease,
         },
     );
-    let lose = state.faults.lose_answers > 0 && key.starts_with(&state.faults.lose_prefix);
-    if lose {
+    let lose_answer = state.faults.lose_answers > 0 && key.starts_with(&state.faults.lose_prefix);
+    if lose_answer {
         state.faults.lose_answers -= 1;
     }
     drop(state);
     shared.changed.notify_all();
-    if lose {
+    if lose_answer {
         // The answer is cut off, so that the caller can't tell whether the write took effect.
         return out.raw(b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{");
     }
@@ -221,7 +221,8 @@
     Page::text(200, "done")
 }
 
-fn under(state: &State, prefix: &str, after: u64) -> Vec<Entry> {
+/// Entries under `prefix` with a revision above `after`.
+fn entries_after(state: &State, prefix: &str, after: u64) -> Vec<Entry> {
     let from = state.keys.range(prefix.to_owned()..);
     from.take_while(|(key, _)| key.starts_with(prefix))
         .filter(|(_, stored)| stored.revision > after)
@@ -241,21 +242,21 @@
     let mut state = lock(&shared.state);
     state.calls.reads += 1;
     state.expire_leases(clock::now());
-    let entries = under(&state, &prefix_of(request), number(request, "after"));
+    let entries = entries_after(&state, &prefix_of(request), number(request, "after"));
     Page::json(200, &entries)
 }
 
 fn watch(shared: &Shared, request: &Request) -> Page {
     let prefix = prefix_of(request);
     let after = number(request, "after");
-    let wait = Duration::from_millis(number(request, "wait_ms")).min(WATCH_MAX);
-    let until = clock::now() + wait;
+    let wait = Duration::from_millis(number(request, "wait_ms")).min(WATCH_WAIT_MAX);
+    let deadline = clock::now() + wait;
     let mut state = lock(&shared.state);
     state.calls.watches += 1;
     state.calls.waiting += 1;
     let entries = loop {
-        let entries = under(&state, &prefix, after);
-        let left = until.saturating_sub(clock::now());
+        let entries = entries_after(&state, &prefix, after);
+        let left = deadline.saturating_sub(clock::now());
         if !entries.is_empty() || left.is_zero() || state.faults.outage {
             break entries;
         }
@@ -283,9 +284,9 @@
 fn vms(shared: &Shared) -> Page {
     let mut state = lock(&shared.state);
     state.calls.reads += 1;
-    if state.show_at.is_some_and(|at| clock::now() >= at) {
+    if state.show_vms_at.is_some_and(|at| clock::now() >= at) {
         state.shown_vms = state.vms.clone();
-        state.show_at = None;
+        state.show_vms_at = None;
     }
     Page::json(200, &state.shown_vms)
 }
--- a/src/standin/relay.rs
+++ b/src/standin/relay.rs
@@ -28,7 +28,7 @@
 }
 
 /// Interval at which a held direction checks whether it may forward again.
-const LOOK: Duration = Duration::from_millis(5);
+const HELD_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Direction in which a connection permanently stops forwarding, without being closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,38 +41,38 @@
 }
 
 /// One open connection over a link.
-struct Open {
+struct Connection {
     ends: [TcpStream; 2],
-    state: Arc<State>,
+    state: Arc<ConnectionState>,
 }
 
 /// State that both directions of a connection share. A silent direction forwards nothing any more,
 /// and neither end sees the connection close.
 #[derive(Default)]
-struct State {
+struct ConnectionState {
     silent_up: AtomicBool,
     silent_down: AtomicBool,
     /// When the connection last received bytes, in milliseconds of the monotonic clock.
-    used_ms: AtomicU64,
+    last_used_ms: AtomicU64,
 }
 
-impl State {
-    fn new() -> State {
-        let state = State::default();
+impl ConnectionState {
+    fn new() -> ConnectionState {
+        let state = ConnectionState::default();
         state.touch();
         state
     }
 
     fn touch(&self) {
-        self.used_ms.store(now_ms(), Ordering::SeqCst);
+        self.last_used_ms.store(now_ms(), Ordering::SeqCst);
     }
 
     fn idle(&self) -> Duration {
-        let used_ms = self.used_ms.load(Ordering::SeqCst);
+        let used_ms = self.last_used_ms.load(Ordering::SeqCst);
         Duration::from_millis(now_ms().saturating_sub(used_ms))
     }
 
-    fn silence(&self, silence: Silence) {
+    fn silence_direction(&self, silence: Silence) {
         if silence != Silence::Down {
             self.silent_up.store(true, Ordering::SeqCst);
         }
@@ -92,8 +92,8 @@
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
     mode: Arc<Mutex<Mode>>,
-    open: Arc<Mutex<HashMap<u64, Open>>>,
-    next: Arc<AtomicU64>,
+    connections: Arc<Mutex<HashMap<u64, Connection>>>,
+    next_id: Arc<AtomicU64>,
     /// Number of further connections that will be silent from the start.
     silent_next: Arc<AtomicU32>,
 }
@@ -106,53 +106,54 @@
             address: listener.local_addr()?,
             cut: Arc::default(),
             mode: Arc::default(),
-            open: Arc::default(),
-            next: Arc::default(),
+            connections: Arc::default(),
+            next_id: Arc::default(),
             silent_next: Arc::default(),
         };
-        let own = relay.clone();
+        let relay_clone = relay.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if own.cut.load(Ordering::SeqCst) {
+                if relay_clone.cut.load(Ordering::SeqCst) {
                     continue;
                 }
                 if let Ok(server) = TcpStream::connect(target) {
-                    let _ = own.join(stream, server);
+                    let _ = relay_clone.connect(stream, server);
                 }
             }
         });
         Ok(relay)
     }
 
-    fn join(&self, client: TcpStream, server: TcpStream) -> io::Result<()> {
+    /// Registers a connection and starts a thread for each of its directions.
+    fn connect(&self, client: TcpStream, server: TcpStream) -> io::Result<()> {
         client.set_nodelay(true)?;
         server.set_nodelay(true)?;
-        let id = self.next.fetch_add(1, Ordering::SeqCst);
+        let id = self.next_id.fetch_add(1, Ordering::SeqCst);
         let ends = [client.try_clone()?, server.try_clone()?];
-        let state = Arc::new(State::new());
-        if self.takes_silent() {
-            state.silence(Silence::Both);
+        let state = Arc::new(ConnectionState::new());
+        if self.take_silent() {
+            state.silence_direction(Silence::Both);
         }
         let (state_up, state_down) = (state.clone(), state.clone());
-        lock(&self.open).insert(id, Open { ends, state });
+        lock(&self.connections).insert(id, Connection { ends, state });
         let (client_read, server_write) = (client.try_clone()?, server.try_clone()?);
         let (up, down) = (self.mode.clone(), self.mode.clone());
-        let open = self.open.clone();
+        let connections = self.connections.clone();
         thread::spawn(move || {
             let silent = |mode| {
-                let dead = state_up.silent_up.load(Ordering::SeqCst);
-                dead || matches!(mode, Mode::Silent | Mode::SilentUp)
+                let silenced = state_up.silent_up.load(Ordering::SeqCst);
+                silenced || matches!(mode, Mode::Silent | Mode::SilentUp)
             };
-            copy(client_read, server_write, &up, &state_up, silent);
+            forward(client_read, server_write, &up, &state_up, silent);
         });
         thread::spawn(move || {
             let silent = |mode| {
-                let dead = state_down.silent_down.load(Ordering::SeqCst);
-                dead || matches!(mode, Mode::Silent | Mode::SilentDown)
+                let silenced = state_down.silent_down.load(Ordering::SeqCst);
+                silenced || matches!(mode, Mode::Silent | Mode::SilentDown)
             };
-            copy(server, client, &down, &state_down, silent);
+            forward(server, client, &down, &state_down, silent);
             // Closes the copies of both sockets that are kept for `reset`.
-            lock(&open).remove(&id);
+            lock(&connections).remove(&id);
         });
         Ok(())
     }
@@ -164,7 +165,10 @@
 
     /// Closes all connections; new ones can be opened.
     pub fn reset(&self) {
-        for stream in lock(&self.open).drain().flat_map(|(_, open)| open.ends) {
+        for stream in lock(&self.connections)
+            .drain()
+            .flat_map(|(_, connection)| connection.ends)
+        {
             // Fails when the connection has been closed by one of its ends.
             let _ = stream.shutdown(Shutdown::Both);
         }
@@ -178,9 +182,9 @@
     /// Makes open connections that have received nothing for `idle` silent for good; busy and new
     /// connections work.
     pub fn silence_idle(&self, idle: Duration, silence: Silence) {
-        for open in lock(&self.open).values() {
-            if open.state.idle() >= idle {
-                open.state.silence(silence);
+        for connection in lock(&self.connections).values() {
+            if connection.state.idle() >= idle {
+                connection.state.silence_direction(silence);
             }
         }
     }
@@ -190,10 +194,12 @@
         self.silent_next.store(count, Ordering::SeqCst);
     }
 
-    fn takes_silent(&self) -> bool {
-        let left = &self.silent_next;
-        let fewer = |count: u32| count.checked_sub(1);
-        left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, fewer)
+    /// Whether the next connection has to be silent; counts down.
+    fn take_silent(&self) -> bool {
+        let remaining = &self.silent_next;
+        let decrement = |count: u32| count.checked_sub(1);
+        remaining
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement)
             .is_ok()
     }
 
@@ -207,24 +213,25 @@
     }
 }
 
-fn copy(
+/// Forwards bytes of one direction until either end closes; then closes `to`.
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     mode: &Mutex<Mode>,
-    state: &State,
+    state: &ConnectionState,
     silent: impl Fn(Mode) -> bool,
 ) {
     let mut buffer = [0; 16 * 1024];
     while let Ok(count) = from.read(&mut buffer) {
         state.touch();
         while silent(*lock(mode)) {
-            clock::sleep(LOOK);
+            clock::sleep(HELD_CHECK_INTERVAL);
         }
-        let late = match *lock(mode) {
+        let delay = match *lock(mode) {
             Mode::Delayed(late) => late,
             _ => Duration::ZERO,
         };
-        clock::sleep(late);
+        clock::sleep(delay);
         if count == 0 || to.write_all(&buffer[..count]).is_err() {
             break;
         }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -63,26 +63,30 @@
     page.reply(out)
 }
 
-fn take(count: &mut u64) -> bool {
-    let any = *count > 0;
+/// Takes one from a counter of faults; false when it is zero.
+fn take_one(count: &mut u64) -> bool {
+    let taken = *count > 0;
     *count = count.saturating_sub(1);
-    any
+    taken
 }
 
 fn execute(state: &Mutex<State>, request: &Request, out: &mut Responder) -> io::Result<()> {
     let key = request.header("Idempotency-Key").map(str::to_owned);
     let key = key.unwrap_or_else(|| String::from_utf8_lossy(&request.body).into());
     let mut locked = lock(state);
-    if take(&mut locked.faults.refuse) {
+    if take_one(&mut locked.faults.refuse) {
         drop(locked);
         return Page::text(503, "not now").reply(out);
     }
     *locked.executions.entry(key.clone()).or_default() += 1;
     let count = locked.executions[&key];
-    let (delay_ms, redirect) = (locked.faults.delay_ms, take(&mut locked.faults.redirect));
+    let (delay_ms, redirect) = (
+        locked.faults.delay_ms,
+        take_one(&mut locked.faults.redirect),
+    );
     let (lose, cut) = (
-        take(&mut locked.faults.lose_answers),
-        take(&mut locked.faults.cut_answers),
+        take_one(&mut locked.faults.lose_answers),
+        take_one(&mut locked.faults.cut_answers),
     );
     drop(locked);
     clock::sleep(Duration::from_millis(delay_ms));
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -13,13 +13,13 @@
 ) -> impl Iterator<Item = (EndpointId, EndpointConfig)> {
     (0..count).map(move |at| {
         let name = format!("endpoint-{at}");
-        let declared = EndpointConfig {
+        let config = EndpointConfig {
             name: name.as_str().into(),
             domain: domain(at),
             service,
             address: "127.0.0.1:1".into(),
             initial_limit: slots,
         };
-        (id::of(&name), declared)
+        (id::of(&name), config)
     })
 }
