--- a/src/standin/fleet/process.rs
+++ b/src/standin/fleet/process.rs
@@ -1,13 +1,14 @@
-//! One process of a fleet.
+//! One process of a fleet: start, signals, and its operator and control pages.
 
 use super::*;
 
-/// One process.
+/// A VM process or a stand-in.
 pub struct Process {
     pub name: String,
     pub failure_domain: usize,
-    /// Towards callers, or towards the system for a stand-in.
+    /// Address for callers; of a stand-in, the address that it serves.
     pub address: SocketAddr,
+    /// Address for operators; stand-ins have none.
     pub operators: Option<SocketAddr>,
     binary: &'static str,
     arguments: Vec<String>,
@@ -42,7 +43,7 @@
         })
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn pid(&self) -> u32 {
         self.child.id()
     }
@@ -53,51 +54,52 @@
         }
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process at once, as a crash would, and waits for its end.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Asks it to stop in order.
+    /// Asks the process for an orderly stop (SIGTERM).
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Freezes it.
+    /// Suspends the process (SIGSTOP).
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Continues a suspended process (SIGCONT).
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for its end; the exit code, or `None` when it was killed or goes on.
-    pub fn wait(&mut self, patience: Duration) -> Option<i32> {
-        let until = clock::now() + patience;
-        while clock::now() < until {
+    /// Waits for the process to end; returns its exit code, or `None` when a signal ended it or it
+    /// still runs after the timeout.
+    pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
+        let deadline = clock::now() + timeout;
+        while clock::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
                 return status.code();
             }
-            clock::sleep(LOOK);
+            clock::sleep(POLL_INTERVAL);
         }
         None
     }
 
-    /// Whether it runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether the process is running.
+    pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Starts it again after its end, with the same settings.
+    /// Starts the process again after its end, with the same arguments and settings.
     pub fn restart(&mut self, folder: &Path) -> io::Result<()> {
         self.child = spawn(folder, &self.name, self.binary, &self.arguments)?;
         Ok(())
     }
 
-    /// A page of its operators' address.
+    /// Reads a JSON page from the operators' address; `Null` when that fails.
     pub fn page(&self, path: &str) -> Value {
         let Some(address) = self.operators else {
             return Value::Null;
@@ -106,7 +108,7 @@
         serde_json::from_str(&text.unwrap_or_default()).unwrap_or(Value::Null)
     }
 
-    /// Changes a stand-in's behaviour.
+    /// Changes the behaviour or faults of a stand-in.
     pub fn control(&self, change: Value) {
         let path = if self.name == "platform" {
             "/control/fault"
@@ -117,13 +119,14 @@
         let _ = call(self.address, "POST", path, "", &[], body.as_bytes());
     }
 
-    /// A stand-in's counters.
+    /// The counters of a stand-in; `Null` when they can't be read.
     pub fn stats(&self) -> Value {
         let text = call(self.address, "GET", "/stats", "", &[], b"").map(|answer| answer.text());
         serde_json::from_str(&text.unwrap_or_default()).unwrap_or(Value::Null)
     }
 }
 
+/// The folder of the running executable; for a test, the one above its `deps`.
 fn binary_folder() -> PathBuf {
     let mut folder = std::env::current_exe().unwrap_or_default();
     folder.pop();
@@ -133,7 +136,8 @@
     folder
 }
 
-pub(super) fn standin(name: &str, domain: usize, arguments: &[&str]) -> io::Result<Process> {
+/// Starts a stand-in and reads its address from its first line of output.
+pub(super) fn start_standin(name: &str, domain: usize, arguments: &[&str]) -> io::Result<Process> {
     let arguments: Vec<String> = arguments.iter().map(|a| (*a).to_owned()).collect();
     let mut child = Command::new(binary_folder().join("bramley-standin"))
         .args(&arguments)
@@ -148,7 +152,11 @@
         .trim()
         .strip_prefix("address ")
         .and_then(|text| text.parse().ok());
-    let address = address.ok_or_else(|| io::Error::other(format!("{name} said {line:?}")))?;
+    let address = address.ok_or_else(|| {
+        io::Error::other(format!(
+            "{name}: expected its address on standard output, got {line:?}"
+        ))
+    })?;
     Ok(Process {
         name: name.to_owned(),
         failure_domain: domain,
@@ -165,10 +173,10 @@
         .create(true)
         .append(true)
         .open(folder.join(format!("{name}.log")))?;
-    let quiet = File::options().append(true).open("/dev/null")?;
+    let null = File::options().append(true).open("/dev/null")?;
     Command::new(binary_folder().join(binary))
         .args(arguments)
         .stderr(log)
-        .stdout(quiet)
+        .stdout(null)
         .spawn()
 }
--- a/src/standin/relay.rs
+++ b/src/standin/relay.rs
@@ -1,4 +1,5 @@
-//! A TCP relay that can be cut, in the place of a network link.
+//! A TCP relay that stands for a network link and can delay, hold back, reset or cut its
+//! connections.
 
 use std::collections::HashMap;
 use std::io::{self, Read, Write};
@@ -11,65 +12,67 @@
 use crate::clock;
 use crate::util::lock;
 
-/// How a link carries bytes.
+/// How a link forwards bytes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Mode {
     #[default]
     Open,
-    /// Bytes come so much later.
+    /// Bytes are delivered this much later.
     Delayed(Duration),
-    /// What clients send stays on the way, until the link is open again.
+    /// Bytes from clients are held until the mode changes.
     SilentUp,
-    /// What comes back stays on the way.
+    /// Bytes from the server are held until the mode changes.
     SilentDown,
+    /// Bytes of both directions are held until the mode changes.
     Silent,
 }
 
-/// Time between two looks at a silent link.
-const LOOK: Duration = Duration::from_millis(5);
+/// Interval at which a held direction checks whether it may forward again.
+const HELD_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Which way a connection has gone silent.
+/// Direction in which a connection permanently stops forwarding, without being closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Silence {
     Both,
-    /// What clients send is lost.
+    /// From client to server.
     Up,
-    /// What comes back is lost.
+    /// From server to client.
     Down,
 }
 
-/// One connection over a link.
-struct Open {
+/// One open connection over a link.
+struct Connection {
     ends: [TcpStream; 2],
-    state: Arc<State>,
+    state: Arc<ConnectionState>,
 }
 
-/// What both directions of a connection share. Once silent, nothing arrives any more and nobody is told.
+/// State that both directions of a connection share. A silent direction forwards nothing any more,
+/// and neither end sees the connection close.
 #[derive(Default)]
-struct State {
+struct ConnectionState {
     silent_up: AtomicBool,
     silent_down: AtomicBool,
-    /// When it last carried anything, in milliseconds of the steady clock.
-    used_ms: AtomicU64,
+    /// When the connection last received bytes, in milliseconds of the monotonic clock.
+    last_used_ms: AtomicU64,
 }
 
-impl State {
-    fn new() -> State {
-        let state = State::default();
+impl ConnectionState {
+    fn new() -> ConnectionState {
+        let state = ConnectionState::default();
         state.touch();
         state
     }
 
     fn touch(&self) {
-        self.used_ms.store(now_ms(), Ordering::SeqCst);
+        self.last_used_ms.store(now_ms(), Ordering::SeqCst);
     }
 
     fn idle(&self) -> Duration {
-        let used_ms = self.used_ms.load(Ordering::SeqCst);
+        let used_ms = self.last_used_ms.load(Ordering::SeqCst);
         Duration::from_millis(now_ms().saturating_sub(used_ms))
     }
 
-    fn silence(&self, silence: Silence) {
+    fn silence_direction(&self, silence: Silence) {
         if silence != Silence::Down {
             self.silent_up.store(true, Ordering::SeqCst);
         }
@@ -83,117 +86,125 @@
     clock::now().as_millis() as u64
 }
 
-/// One link.
+/// A link from a local port to one server. Clones control the same link.
 #[derive(Clone)]
 pub struct Relay {
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
     mode: Arc<Mutex<Mode>>,
-    open: Arc<Mutex<HashMap<u64, Open>>>,
-    next: Arc<AtomicU64>,
-    /// So many more connections are silent from the start.
+    connections: Arc<Mutex<HashMap<u64, Connection>>>,
+    next_id: Arc<AtomicU64>,
+    /// Number of further connections that will be silent from the start.
     silent_next: Arc<AtomicU32>,
 }
 
 impl Relay {
-    /// Starts a link to `target`.
+    /// Starts a link to `target` on a free local port.
     pub fn start(target: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let relay = Relay {
             address: listener.local_addr()?,
             cut: Arc::default(),
             mode: Arc::default(),
-            open: Arc::default(),
-            next: Arc::default(),
+            connections: Arc::default(),
+            next_id: Arc::default(),
             silent_next: Arc::default(),
         };
-        let own = relay.clone();
+        let relay_clone = relay.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if own.cut.load(Ordering::SeqCst) {
+                if relay_clone.cut.load(Ordering::SeqCst) {
                     continue;
                 }
                 if let Ok(server) = TcpStream::connect(target) {
-                    let _ = own.join(stream, server);
+                    let _ = relay_clone.connect(stream, server);
                 }
             }
         });
         Ok(relay)
     }
 
-    fn join(&self, client: TcpStream, server: TcpStream) -> io::Result<()> {
+    /// Registers a connection and starts a thread for each of its directions.
+    fn connect(&self, client: TcpStream, server: TcpStream) -> io::Result<()> {
         client.set_nodelay(true)?;
         server.set_nodelay(true)?;
-        let id = self.next.fetch_add(1, Ordering::SeqCst);
+        let id = self.next_id.fetch_add(1, Ordering::SeqCst);
         let ends = [client.try_clone()?, server.try_clone()?];
-        let state = Arc::new(State::new());
-        if self.takes_silent() {
-            state.silence(Silence::Both);
+        let state = Arc::new(ConnectionState::new());
+        if self.take_silent() {
+            state.silence_direction(Silence::Both);
         }
         let (state_up, state_down) = (state.clone(), state.clone());
-        lock(&self.open).insert(id, Open { ends, state });
+        lock(&self.connections).insert(id, Connection { ends, state });
         let (client_read, server_write) = (client.try_clone()?, server.try_clone()?);
         let (up, down) = (self.mode.clone(), self.mode.clone());
-        let open = self.open.clone();
+        let connections = self.connections.clone();
         thread::spawn(move || {
             let silent = |mode| {
-                let dead = state_up.silent_up.load(Ordering::SeqCst);
-                dead || matches!(mode, Mode::Silent | Mode::SilentUp)
+                let silenced = state_up.silent_up.load(Ordering::SeqCst);
+                silenced || matches!(mode, Mode::Silent | Mode::SilentUp)
             };
-            copy(client_read, server_write, &up, &state_up, silent);
+            forward(client_read, server_write, &up, &state_up, silent);
         });
         thread::spawn(move || {
             let silent = |mode| {
-                let dead = state_down.silent_down.load(Ordering::SeqCst);
-                dead || matches!(mode, Mode::Silent | Mode::SilentDown)
+                let silenced = state_down.silent_down.load(Ordering::SeqCst);
+                silenced || matches!(mode, Mode::Silent | Mode::SilentDown)
             };
-            copy(server, client, &down, &state_down, silent);
-            // Its descriptors are free again.
-            lock(&open).remove(&id);
+            forward(server, client, &down, &state_down, silent);
+            // Closes the copies of both sockets that are kept for `reset`.
+            lock(&connections).remove(&id);
         });
         Ok(())
     }
 
-    /// Changes how the link carries bytes, also those of connections that are open.
+    /// Changes how the link forwards bytes, also for connections that are already open.
     pub fn set(&self, mode: Mode) {
         *lock(&self.mode) = mode;
     }
 
-    /// Resets all connections; new ones can be opened.
+    /// Closes all connections; new ones can be opened.
     pub fn reset(&self) {
-        for stream in lock(&self.open).drain().flat_map(|(_, open)| open.ends) {
-            // It may be closed by now.
+        for stream in lock(&self.connections)
+            .drain()
+            .flat_map(|(_, connection)| connection.ends)
+        {
+            // Fails when the connection has been closed by one of its ends.
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Connections that are open go silent for good; new ones work.
+    /// Makes all open connections silent in both directions for good; new connections work.
     pub fn silence_open(&self) {
         self.silence_idle(Duration::ZERO, Silence::Both);
     }
 
-    /// Open connections that have carried nothing for `idle` go silent for good; those in use and new ones work.
+    /// Makes open connections that have received nothing for `idle` silent for good; busy and new
+    /// connections work.
     pub fn silence_idle(&self, idle: Duration, silence: Silence) {
-        for open in lock(&self.open).values() {
-            if open.state.idle() >= idle {
-                open.state.silence(silence);
+        for connection in lock(&self.connections).values() {
+            if connection.state.idle() >= idle {
+                connection.state.silence_direction(silence);
             }
         }
     }
 
-    /// The next `count` connections are silent from the start.
+    /// Makes the next `count` connections silent in both directions from the start.
     pub fn silence_next(&self, count: u32) {
         self.silent_next.store(count, Ordering::SeqCst);
     }
 
-    fn takes_silent(&self) -> bool {
-        let left = &self.silent_next;
-        let fewer = |count: u32| count.checked_sub(1);
-        left.fetch_update(Ordering::SeqCst, Ordering::SeqCst, fewer)
+    /// Whether the next connection has to be silent; counts down.
+    fn take_silent(&self) -> bool {
+        let remaining = &self.silent_next;
+        let decrement = |count: u32| count.checked_sub(1);
+        remaining
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, decrement)
             .is_ok()
     }
 
-    /// Cuts or heals the link; connections that are open break.
+    /// Cuts or restores the link. While it is cut, new connections are closed at once; cutting it
+    /// also closes the open ones.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::SeqCst);
         if cut {
@@ -202,24 +213,25 @@
     }
 }
 
-fn copy(
+/// Forwards bytes of one direction until either end closes; then closes `to`.
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     mode: &Mutex<Mode>,
-    state: &State,
+    state: &ConnectionState,
     silent: impl Fn(Mode) -> bool,
 ) {
     let mut buffer = [0; 16 * 1024];
     while let Ok(count) = from.read(&mut buffer) {
         state.touch();
         while silent(*lock(mode)) {
-            clock::sleep(LOOK);
+            clock::sleep(HELD_CHECK_INTERVAL);
         }
-        let late = match *lock(mode) {
+        let delay = match *lock(mode) {
             Mode::Delayed(late) => late,
             _ => Duration::ZERO,
         };
-        clock::sleep(late);
+        clock::sleep(delay);
         if count == 0 || to.write_all(&buffer[..count]).is_err() {
             break;
         }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts its executions by key.
+//! Stand-in for a plain service, which counts its executions by idempotency key.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -14,19 +14,19 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-/// Faults that are switched on and off.
+/// Faults to inject; the numbers of calls count down.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
     /// Time that a call takes.
     pub delay_ms: u64,
-    /// This many calls are executed and not answered.
+    /// Number of calls that are executed and whose connection is then closed without an answer.
     pub lose_answers: u64,
-    /// This many calls are executed and answered in part.
+    /// Number of calls that are executed and answered with a truncated body.
     pub cut_answers: u64,
-    /// This many calls are answered 503 without being executed.
+    /// Number of calls that are answered with status 503 without being executed.
     pub refuse: u64,
-    /// This many calls are answered with a redirect to `/elsewhere`.
+    /// Number of calls that are executed and answered with a redirect to `/elsewhere`.
     pub redirect: u64,
     pub leaving: bool,
 }
@@ -37,7 +37,7 @@
     executions: BTreeMap<String, u64>,
 }
 
-/// Starts the stand-in on an open listener.
+/// Starts the stand-in on an open listener and returns its address.
 pub fn serve(listener: TcpListener) -> io::Result<SocketAddr> {
     let state = Arc::new(Mutex::new(State::default()));
     super::serve(listener, move |request, out| handle(&state, request, out))
@@ -63,26 +63,30 @@
     page.reply(out)
 }
 
-fn take(count: &mut u64) -> bool {
-    let any = *count > 0;
+/// Takes one from a counter of faults; false when it is zero.
+fn take_one(count: &mut u64) -> bool {
+    let taken = *count > 0;
     *count = count.saturating_sub(1);
-    any
+    taken
 }
 
 fn execute(state: &Mutex<State>, request: &Request, out: &mut Responder) -> io::Result<()> {
     let key = request.header("Idempotency-Key").map(str::to_owned);
     let key = key.unwrap_or_else(|| String::from_utf8_lossy(&request.body).into());
     let mut locked = lock(state);
-    if take(&mut locked.faults.refuse) {
+    if take_one(&mut locked.faults.refuse) {
         drop(locked);
         return Page::text(503, "not now").reply(out);
     }
     *locked.executions.entry(key.clone()).or_default() += 1;
     let count = locked.executions[&key];
-    let (delay_ms, redirect) = (locked.faults.delay_ms, take(&mut locked.faults.redirect));
+    let (delay_ms, redirect) = (
+        locked.faults.delay_ms,
+        take_one(&mut locked.faults.redirect),
+    );
     let (lose, cut) = (
-        take(&mut locked.faults.lose_answers),
-        take(&mut locked.faults.cut_answers),
+        take_one(&mut locked.faults.lose_answers),
+        take_one(&mut locked.faults.cut_answers),
     );
     drop(locked);
     clock::sleep(Duration::from_millis(delay_ms));
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -1,9 +1,10 @@
-//! Endpoints for tables, in tests and benchmarks of decisions.
+//! Endpoint configurations for tests and benchmarks of the decision code.
 
 use crate::decide::endpoints::EndpointConfig;
 use crate::id::{self, DomainId, EndpointId, ServiceId};
 
-/// Endpoints `endpoint-0` and on of one service, each in the failure domain that `domain` gives it.
+/// Yields the endpoints `endpoint-0`, `endpoint-1`, ... of one service, each in the failure domain
+/// that `domain` returns for its number.
 pub fn declared(
     count: usize,
     service: ServiceId,
@@ -12,13 +13,13 @@
 ) -> impl Iterator<Item = (EndpointId, EndpointConfig)> {
     (0..count).map(move |at| {
         let name = format!("endpoint-{at}");
-        let declared = EndpointConfig {
+        let config = EndpointConfig {
             name: name.as_str().into(),
             domain: domain(at),
             service,
             address: "127.0.0.1:1".into(),
             initial_limit: slots,
         };
-        (id::of(&name), declared)
+        (id::of(&name), config)
     })
 }
