--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -148,11 +148,11 @@
             Fault::StoreDeaf => self.fleet.store.behave(|b| b.watches_silent = true),
             Fault::StoreForgets => self.fleet.store.compact(),
             Fault::StoreLinkCut => self.fleet.vms[target].store_link.cut(true),
-            Fault::StoreLinkSilent => self.fleet.vms[target].store_link.set(Mode::Silent),
-            Fault::StoreLinkOneWay => self.fleet.vms[target].store_link.set(Mode::SilentDown),
+            Fault::StoreLinkSilent => self.fleet.vms[target].store_link.set_mode(Mode::Silent),
+            Fault::StoreLinkOneWay => self.fleet.vms[target].store_link.set_mode(Mode::SilentDown),
             Fault::StoreLinkSlow => self.fleet.vms[target]
                 .store_link
-                .set(Mode::Delayed(LINK_DELAY)),
+                .set_mode(Mode::Delayed(LINK_DELAY)),
             Fault::EngineSilent => self.fleet.endpoints[target].behave(|b| b.silent = true),
             Fault::EngineBreaks => self.fleet.endpoints[target].behave(|b| {
                 b.break_after = Some(2);
@@ -173,8 +173,8 @@
             Fault::EngineSkips => {
                 self.fleet.endpoints[target].behave(|b| b.gaps_left = WRONG_ANSWERS)
             }
-            Fault::EngineLinkOneWay => self.fleet.links[target].set(Mode::SilentUp),
-            Fault::EngineLinkSlow => self.fleet.links[target].set(Mode::Delayed(LINK_DELAY)),
+            Fault::EngineLinkOneWay => self.fleet.links[target].set_mode(Mode::SilentUp),
+            Fault::EngineLinkSlow => self.fleet.links[target].set_mode(Mode::Delayed(LINK_DELAY)),
             Fault::EngineLinkReset => self.fleet.links[target].reset(),
             Fault::EngineEnds => self.fleet.endpoints[target].end(),
             Fault::EngineLeaves => self.drain(target),
@@ -222,12 +222,12 @@
             }
             Fault::StoreLinkCut => self.fleet.vms[target].store_link.cut(false),
             Fault::StoreLinkSilent | Fault::StoreLinkOneWay | Fault::StoreLinkSlow => {
-                self.fleet.vms[target].store_link.set(Mode::Open);
+                self.fleet.vms[target].store_link.set_mode(Mode::Open);
             }
             Fault::EngineSilent => self.fleet.endpoints[target].behave(|b| b.silent = false),
             Fault::EngineEnds => self.replace(target),
             Fault::EngineLinkOneWay | Fault::EngineLinkSlow => {
-                self.fleet.links[target].set(Mode::Open);
+                self.fleet.links[target].set_mode(Mode::Open);
             }
             _ => {}
         }
--- a/src/bench/slopes.rs
+++ b/src/bench/slopes.rs
@@ -30,7 +30,7 @@
 use crate::id;
 use crate::metrics::resident_bytes;
 use crate::standin::fleet::{call, chat_lines, Fleet, Plan, KEYS};
-use crate::standin::table::declared;
+use crate::standin::table::endpoint_configs;
 use crate::wire::{Datagram, Key, PeerReply};
 
 const RUNS: usize = 3;
@@ -59,7 +59,7 @@
 
 fn table(count: usize, domains: usize) -> Endpoints {
     let mut table = Endpoints::default();
-    table.configure(declared(count, SERVICE, 16.0, move |at| {
+    table.configure(endpoint_configs(count, SERVICE, 16.0, move |at| {
         (at % domains) as u64
     }));
     for (at, row) in table.rows.iter_mut().enumerate() {
--- a/src/model/fleet.rs
+++ b/src/model/fleet.rs
@@ -22,7 +22,7 @@
 use crate::decide::routing::Policy;
 use crate::decide::usage::Usage;
 use crate::id::{self, DomainId, EndpointId, RequestId, VmId};
-use crate::standin::table::declared;
+use crate::standin::table::endpoint_configs;
 
 const SERVICE: u64 = 1;
 const WORKSPACE: u64 = 0;
@@ -145,7 +145,7 @@
         let mut endpoints = Endpoints::default();
         let slots = spec.engine.slots as f64;
         let domain = |at: usize| at as u64 % spec.domains;
-        endpoints.configure(declared(spec.engines, SERVICE, slots, domain));
+        endpoints.configure(endpoint_configs(spec.engines, SERVICE, slots, domain));
         let order: Vec<EndpointId> = endpoints.rows.iter().map(|row| row.id).collect();
         let engine = |id: &EndpointId| (*id, Engine::new(spec.engine.clone()));
         let vm = |at: u64| {
--- a/src/standin/fleet/process.rs
+++ b/src/standin/fleet/process.rs
@@ -77,7 +77,7 @@
 
     /// Waits for the process to end; returns its exit code, or `None` when a signal ended it or it
     /// still runs after the timeout.
-    pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
+    pub fn wait_for_exit(&mut self, timeout: Duration) -> Option<i32> {
         let deadline = clock::now() + timeout;
         while clock::now() < deadline {
             if let Ok(Some(status)) = self.child.try_wait() {
--- a/src/standin/relay.rs
+++ b/src/standin/relay.rs
@@ -159,7 +159,7 @@
     }
 
     /// Changes how the link forwards bytes, also for connections that are already open.
-    pub fn set(&self, mode: Mode) {
+    pub fn set_mode(&self, mode: Mode) {
         *lock(&self.mode) = mode;
     }
 
--- a/src/standin/table.rs
+++ b/src/standin/table.rs
@@ -5,7 +5,7 @@
 
 /// Yields the endpoints `endpoint-0`, `endpoint-1`, ... of one service, each in the failure domain
 /// that `domain` returns for its number.
-pub fn declared(
+pub fn endpoint_configs(
     count: usize,
     service: ServiceId,
     slots: f64,
--- a/tests/batch_items.rs
+++ b/tests/batch_items.rs
@@ -7,7 +7,7 @@
     Action, ItemKey, ItemPlanner, Items, PREEMPTED_RETRY_AFTER, URGENT_SLOT_SHARE,
 };
 use bramleyseam::decide::usage::{own_excess, EndpointUse, Usage};
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use quickcheck::quickcheck;
 
 const SERVICE: u64 = 1;
@@ -21,7 +21,7 @@
 
 fn endpoints(count: usize) -> Endpoints {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(count, SERVICE, f64::from(SLOTS), |_| LOCAL_DOMAIN));
+    endpoints.configure(endpoint_configs(count, SERVICE, f64::from(SLOTS), |_| LOCAL_DOMAIN));
     endpoints
 }
 
--- a/tests/idle_slots.rs
+++ b/tests/idle_slots.rs
@@ -7,7 +7,7 @@
 use bramleyseam::decide::items::{ItemKey, ItemPlanner, Items};
 use bramleyseam::decide::slot_grants::CompetingVm;
 use bramleyseam::decide::usage::Usage;
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use quickcheck::quickcheck;
 
 const SERVICE: u64 = 1;
@@ -30,7 +30,7 @@
 #[test]
 fn others_turn() {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(2, SERVICE, 4.0, |_| 1));
+    endpoints.configure(endpoint_configs(2, SERVICE, 4.0, |_| 1));
     let mut items = items(8);
     let own = ItemPlanner {
         vm: 1,
@@ -54,7 +54,7 @@
 #[test]
 fn pause_counts() {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(1, SERVICE, 1.0, |_| 1));
+    endpoints.configure(endpoint_configs(1, SERVICE, 1.0, |_| 1));
     let mut items = items(1);
     let own = ItemPlanner {
         vm: 1,
--- a/tests/item_turns.rs
+++ b/tests/item_turns.rs
@@ -9,7 +9,7 @@
     slot_share, CompetingVm, EndpointPlace, SlotGrants, START_UNSEEN_TIME,
 };
 use bramleyseam::decide::usage::{EndpointUse, Usage};
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use quickcheck::quickcheck;
 
 const SERVICE: u64 = 1;
@@ -52,7 +52,7 @@
 /// and the end of the last item.
 fn simulate(use_grants: bool) -> (usize, usize, Duration) {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| {
+    endpoints.configure(endpoint_configs(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| {
         LOCAL_DOMAIN
     }));
     let mut vms = vms();
@@ -228,7 +228,7 @@
 #[test]
 fn uneven_queues() {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(declared(18, SERVICE, 8.0, |_| LOCAL_DOMAIN));
+    endpoints.configure(endpoint_configs(18, SERVICE, 8.0, |_| LOCAL_DOMAIN));
     let mut items = Items::default();
     for item in 0..80 {
         let key = ItemKey {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -671,7 +671,7 @@
             .collect();
         let sum: u32 = batch.iter().sum();
         let mut endpoints = Endpoints::default();
-        let declared = bramleyseam::standin::table::declared(1, 1, slots, |_| 1);
+        let declared = bramleyseam::standin::table::endpoint_configs(1, 1, slots, |_| 1);
         endpoints.configure(declared);
         let row = &mut endpoints.rows[0];
         (row.batch, row.online_elsewhere) = (sum, u32::from(online % 10));
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -4,7 +4,7 @@
 
 use bramleyseam::decide::endpoints::Endpoints;
 use bramleyseam::decide::routing::{choose, Policy, RouteQuery};
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -70,7 +70,7 @@
     let table = || {
         let mut table = Endpoints::default();
         table.counts_lag = counts_lag;
-        table.configure(declared(ENDPOINTS, SERVICE, SLOTS as f64, |_| LOCAL_DOMAIN));
+        table.configure(endpoint_configs(ENDPOINTS, SERVICE, SLOTS as f64, |_| LOCAL_DOMAIN));
         table
     };
     let mut tables: Vec<Endpoints> = (0..VMS).map(|_| table()).collect();
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -8,7 +8,7 @@
 use bramleyseam::decide::fleet::{Action, Fleet, Heartbeat};
 use bramleyseam::decide::members::{HeartbeatOutcome, Members, VmStatus};
 use bramleyseam::id;
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -60,7 +60,7 @@
 
 fn endpoints(count: usize, domains: usize) -> Endpoints {
     let mut table = Endpoints::default();
-    table.configure(declared(count, 1, 8.0, move |at| (at % domains) as u64));
+    table.configure(endpoint_configs(count, 1, 8.0, move |at| (at % domains) as u64));
     table
 }
 
--- a/tests/online_rules.rs
+++ b/tests/online_rules.rs
@@ -8,7 +8,7 @@
 use bramleyseam::decide::refusal::RefusalKind;
 use bramleyseam::decide::retry::{AttemptStage, ATTEMPTS_MAX_DEFAULT};
 use bramleyseam::decide::routing::{choose, Policy, RouteQuery};
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use quickcheck::quickcheck;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -25,7 +25,7 @@
     let mut online = Online::new(LOCAL_DOMAIN, SmallRng::seed_from_u64(seed));
     online
         .endpoints
-        .configure(declared(endpoints, SERVICE, slots, |_| LOCAL_DOMAIN));
+        .configure(endpoint_configs(endpoints, SERVICE, slots, |_| LOCAL_DOMAIN));
     let service = ServiceConfig {
         first_token_goal: ms(500),
         queue_limit: 40,
--- a/tests/silent_endpoints.rs
+++ b/tests/silent_endpoints.rs
@@ -10,7 +10,7 @@
 use bramleyseam::decide::refusal::RefusalKind;
 use bramleyseam::decide::retry::AttemptStage;
 use bramleyseam::id::EndpointId;
-use bramleyseam::standin::table::declared;
+use bramleyseam::standin::table::endpoint_configs;
 use rand::rngs::SmallRng;
 use rand::SeedableRng;
 
@@ -33,7 +33,7 @@
         online.watch_silence = true;
         online
             .endpoints
-            .configure(declared(endpoints, SERVICE, SLOTS, |_| 1));
+            .configure(endpoint_configs(endpoints, SERVICE, SLOTS, |_| 1));
         let service = ServiceConfig {
             first_token_goal: ms(300),
             queue_limit: 40,
@@ -178,7 +178,7 @@
     let mut simulation = Simulation::new(2);
     let first = sent_to(&simulation.arrive(1, true, 2)).unwrap();
     simulation.event(Event::FirstToken { request: 1 });
-    let mut remaining: Vec<_> = declared(2, SERVICE, SLOTS, |_| 1).collect();
+    let mut remaining: Vec<_> = endpoint_configs(2, SERVICE, SLOTS, |_| 1).collect();
     remaining.retain(|(id, _)| *id != first);
     simulation.online.endpoints.configure(remaining);
     let actions = simulation.run_for(RESPONSE_SILENCE_TIMEOUT + TICK, None);
--- a/tests/vm_failures.rs
+++ b/tests/vm_failures.rs
@@ -317,12 +317,12 @@
         fleet.batches[at].terminate();
         fleet.entries[at].terminate();
         assert_eq!(
-            fleet.entries[at].wait(WAIT_TIMEOUT),
+            fleet.entries[at].wait_for_exit(WAIT_TIMEOUT),
             Some(0),
             "entry {at} cut requests"
         );
         assert_eq!(
-            fleet.batches[at].wait(WAIT_TIMEOUT),
+            fleet.batches[at].wait_for_exit(WAIT_TIMEOUT),
             Some(0),
             "batch {at} cut items"
         );
@@ -391,7 +391,7 @@
     let folder = fleet.folder.clone();
     for batch in &mut fleet.batches {
         batch.terminate();
-        assert_eq!(batch.wait(WAIT_TIMEOUT), Some(0));
+        assert_eq!(batch.wait_for_exit(WAIT_TIMEOUT), Some(0));
         batch.restart(&folder).unwrap();
     }
     let shown = fleet.wait_job(0, &job, WAIT_TIMEOUT);
