--- a/soak/src/faults.rs
+++ b/soak/src/faults.rs
@@ -302,7 +302,7 @@
                     continue;
                 }
                 let rules = process.dump()["rules"].as_u64().unwrap_or(0);
-                if config < version {
+                if rules < version {
                     let what = format!("{} has rules {rules} and not {version}", process.name);
                     self.ledger.record_violation(now, what);
                 }
--- a/src/config/load.rs
+++ b/src/config/load.rs
@@ -32,7 +32,7 @@
 fn read_kind<T: DeserializeOwned>(folder: &Path, kind: Kind, faults: &mut Vec<Fault>) -> Vec<T> {
     let name: &'static str = kind.into();
     let file = format!("{name}.json");
-    let content = match fs::read(read_folder.join(&file)) {
+    let content = match fs::read(folder.join(&file)) {
         Ok(content) => content,
         Err(error) => {
             let allowed = "a file of each kind, [] when empty".to_owned();
@@ -55,16 +55,16 @@
 pub fn read_folder(folder: &Path) -> Result<State, Vec<Fault>> {
     let mut faults = Vec::new();
     let state = State {
-        services: read_kind(read_folder, Kind::Services, &mut faults),
-        models: read_kind(read_folder, Kind::Models, &mut faults),
-        adapters: read_kind(read_folder, Kind::Adapters, &mut faults),
-        versions: read_kind(read_folder, Kind::Versions, &mut faults),
-        workspaces: read_kind(read_folder, Kind::Workspaces, &mut faults),
-        shares: read_kind(read_folder, Kind::Shares, &mut faults),
-        failure_domains: read_kind(read_folder, Kind::FailureDomains, &mut faults),
-        endpoints: read_kind(read_folder, Kind::Endpoints, &mut faults),
+        services: read_kind(folder, Kind::Services, &mut faults),
+        models: read_kind(folder, Kind::Models, &mut faults),
+        adapters: read_kind(folder, Kind::Adapters, &mut faults),
+        versions: read_kind(folder, Kind::Versions, &mut faults),
+        workspaces: read_kind(folder, Kind::Workspaces, &mut faults),
+        shares: read_kind(folder, Kind::Shares, &mut faults),
+        failure_domains: read_kind(folder, Kind::FailureDomains, &mut faults),
+        endpoints: read_kind(folder, Kind::Endpoints, &mut faults),
     };
-    faults.extend(unknown_files(read_folder));
+    faults.extend(unknown_files(folder));
     if faults.is_empty() {
         faults = super::check::state(&state);
     }
@@ -82,7 +82,7 @@
             format!("{name}.json")
         })
         .collect();
-    let entries = fs::read_dir(read_folder).into_iter().flatten().flatten();
+    let entries = fs::read_dir(folder).into_iter().flatten().flatten();
     let names = entries.map(|entry| entry.file_name().to_string_lossy().into_owned());
     let strange = names.filter(|name| name.ends_with(".json") && !known.contains(name));
     strange
--- a/src/entry.rs
+++ b/src/entry.rs
@@ -81,7 +81,7 @@
     gossip::serve_peers(&node, peers).context(ListenSnafu {
         what: "peer_address",
     })?;
-    batch_server::serve(&node, batch_server).context(ListenSnafu {
+    batch_server::serve(&node, local).context(ListenSnafu {
         what: "local_address",
     })?;
     operators::serve(&node, operators).context(ListenSnafu {
--- a/src/serve/jobs.rs
+++ b/src/serve/jobs.rs
@@ -68,13 +68,13 @@
         return replies::refusal(RefusalKind::BadRequest, true, None);
     }
     let parts = match small_jobs::body_parts(&items) {
-        Some(parts) if items.len() <= small_jobs::ITEMS_MAX && !items.is_empty() => part_cache,
+        Some(parts) if items.len() <= small_jobs::ITEMS_MAX && !items.is_empty() => parts,
         _ => return replies::refusal(RefusalKind::TooLarge, true, None),
     };
-    let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &part_cache);
+    let mut record = new_record(&node, id.clone(), &ask.host, route, &items, &parts);
     record.workspace = caller;
     // A task of its own: a caller that disconnects must not stop the write from being settled.
-    let accepted = accept(node.clone(), route.clone(), record, part_cache);
+    let accepted = accept(node.clone(), route.clone(), record, parts);
     let settled = tokio::task::spawn_local(accepted).await;
     settled.unwrap_or_else(|_| replies::refusal(RefusalKind::PlatformAway, false, None))
 }
@@ -89,7 +89,7 @@
 ) -> SmallJobRecord {
     let mut first = 0;
     let mut body_parts = Vec::new();
-    for part in part_cache {
+    for part in parts {
         body_parts.push(first);
         first += part.len() as u32;
     }
@@ -128,7 +128,7 @@
         return reply;
     }
     let part = |(number, part)| write(body_key(&id, number as u32), encode(part));
-    let writes = part_cache.iter().enumerate().map(part).collect();
+    let writes = parts.iter().enumerate().map(part).collect();
     let started = clock::now();
     let settled = replace_record_with_parts(&node, &record, 0, writes).await;
     job_admission::note_write(&node, &id, &settled);
@@ -339,7 +339,7 @@
 ) -> CommitOutcome {
     let key = record_key(&record.id);
     let mut writes = vec![write(key.clone(), encode(record))];
-    writes.extend(part_cache.iter().cloned());
+    writes.extend(parts.iter().cloned());
     let txn = Txn {
         expect: vec![(key.clone(), revision)],
         writes,
@@ -351,7 +351,7 @@
     match &settled {
         CommitOutcome::Won(revision) => {
             core.apply_job(now, now, record.clone(), *revision);
-            for part in part_cache {
+            for part in parts {
                 core.jobs.parts.insert(part.key, part.value);
             }
             node.heartbeat_due.notify_one();
--- a/src/serve/quarantine.rs
+++ b/src/serve/quarantine.rs
@@ -126,7 +126,7 @@
         node.core
             .borrow_mut()
             .quarantine
-            .run_lost(quarantine_now(), run_lost);
+            .run_lost(quarantine_now(), lost);
     }
     let ended = pool::refuses_connections(&run.target.address).await;
     log::info!(endpoint = run.target.instance, ended, stays; "a run lost its connection");
--- a/tests/batch_items.rs
+++ b/tests/batch_items.rs
@@ -21,7 +21,9 @@
 
 fn endpoints(count: usize) -> Endpoints {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(endpoint_configs(count, SERVICE, f64::from(SLOTS), |_| LOCAL_DOMAIN));
+    endpoints.configure(endpoint_configs(count, SERVICE, f64::from(SLOTS), |_| {
+        LOCAL_DOMAIN
+    }));
     endpoints
 }
 
--- a/tests/item_turns.rs
+++ b/tests/item_turns.rs
@@ -52,9 +52,12 @@
 /// and the end of the last item.
 fn simulate(use_grants: bool) -> (usize, usize, Duration) {
     let mut endpoints = Endpoints::default();
-    endpoints.configure(endpoint_configs(ENDPOINTS, SERVICE, f64::from(SLOTS), |_| {
-        LOCAL_DOMAIN
-    }));
+    endpoints.configure(endpoint_configs(
+        ENDPOINTS,
+        SERVICE,
+        f64::from(SLOTS),
+        |_| LOCAL_DOMAIN,
+    ));
     let mut vms = vms();
     let (mut starts, mut stops) = (0, 0);
     let mut waiting: Vec<CompetingVm> = Vec::new();
--- a/tests/late_news.rs
+++ b/tests/late_news.rs
@@ -70,7 +70,9 @@
     let table = || {
         let mut table = Endpoints::default();
         table.counts_lag = counts_lag;
-        table.configure(endpoint_configs(ENDPOINTS, SERVICE, SLOTS as f64, |_| LOCAL_DOMAIN));
+        table.configure(endpoint_configs(ENDPOINTS, SERVICE, SLOTS as f64, |_| {
+            LOCAL_DOMAIN
+        }));
         table
     };
     let mut tables: Vec<Endpoints> = (0..VMS).map(|_| table()).collect();
--- a/tests/members.rs
+++ b/tests/members.rs
@@ -60,7 +60,9 @@
 
 fn endpoints(count: usize, domains: usize) -> Endpoints {
     let mut table = Endpoints::default();
-    table.configure(endpoint_configs(count, 1, 8.0, move |at| (at % domains) as u64));
+    table.configure(endpoint_configs(count, 1, 8.0, move |at| {
+        (at % domains) as u64
+    }));
     table
 }
 
--- a/tests/online_rules.rs
+++ b/tests/online_rules.rs
@@ -25,7 +25,9 @@
     let mut online = Online::new(LOCAL_DOMAIN, SmallRng::seed_from_u64(seed));
     online
         .endpoints
-        .configure(endpoint_configs(endpoints, SERVICE, slots, |_| LOCAL_DOMAIN));
+        .configure(endpoint_configs(endpoints, SERVICE, slots, |_| {
+            LOCAL_DOMAIN
+        }));
     let service = ServiceConfig {
         first_token_goal: ms(500),
         queue_limit: 40,
