--- a/src/serve/callers.rs
+++ b/src/serve/callers.rs
@@ -160,7 +160,7 @@
         let proof_age_ms = node.confirmation_age_ms(StoreSubject::Rules);
         let path = head.uri.path();
         node.counters.refusals.with_label_values(&[reason]).inc();
-        log::info!(path, reason, version, proof_age_ms; "refused: the key identifies no workspace");
+        log::info!(path, reason, version, proof_age_ms; "refused: no workspace is known by this key");
     })
 }
 
--- a/src/serve/job_admission.rs
+++ b/src/serve/job_admission.rs
@@ -51,7 +51,7 @@
             limit = view.limit_tokens,
             vms = view.vms,
             way:? = path;
-            "job requests admission"
+            "job asks to be let in"
         );
         path
     };
@@ -227,7 +227,7 @@
         waiting = view.waiting_tokens,
         limit = view.limit_tokens,
         after_ms = retry_after.as_millis() as u64;
-        "job refused: the route's limit on waiting tokens is reached"
+        "job refused: too much waits"
     );
     replies::refusal(RefusalKind::TooMuchWaiting, true, Some(retry_after))
 }
--- a/src/serve/node.rs
+++ b/src/serve/node.rs
@@ -308,7 +308,7 @@
             return;
         }
         let before = current.unwrap_or(0);
-        log::info!(version = rules.version, before, from, proof_age_ms; "configuration applied");
+        log::info!(version = rules.version, before, from, proof_age_ms; "rules taken");
         core.online.services = services(&rules);
         core.routes = Some(Rc::new(RouteTable::new(rules)));
         drop(core);
@@ -367,7 +367,7 @@
             draining = draining.len(),
             revision = core.discovery.revision,
             from;
-            "endpoints applied"
+            "endpoints taken"
         );
         let endpoints = &mut core.online.endpoints;
         let in_service = endpoints.rows.iter().filter(|row| row.leaving.is_none());
--- a/src/serve/online.rs
+++ b/src/serve/online.rs
@@ -364,7 +364,7 @@
             reach = name,
             detail = failure.detail,
             age_ms = self.age().as_millis() as u64;
-            "attempt failed"
+            "try failed"
         );
         let Failure {
             stage: reach,
