--- a/src/decide/fleet.rs
+++ b/src/decide/fleet.rs
@@ -120,15 +120,15 @@
 
 impl Fleet {
     /// A VM that has received nothing yet.
-    pub fn new(card: VmStatus) -> Fleet {
+    pub fn new(status: VmStatus) -> Fleet {
         Fleet {
             members: Members::default(),
             sequence: 0,
             next_heartbeat: Duration::ZERO,
             next_remote_heartbeat: Duration::ZERO,
             polled_at: HashMap::new(),
-            newest_config: (card.peer_address, 0),
-            newest_jobs: (card.peer_address, 0),
+            newest_config: (status.peer_address, 0),
+            newest_jobs: (status.peer_address, 0),
             fetched_config_at: None,
             fetched_jobs_at: None,
             dirty: VecDeque::new(),
@@ -140,7 +140,7 @@
             polled_endpoints: Vec::new(),
             placement_inputs: (0, 0),
             remote_uses: HashMap::new(),
-            status: card,
+            status,
         }
     }
 
--- a/src/decide/members.rs
+++ b/src/decide/members.rs
@@ -160,7 +160,7 @@
         ranked(key, others.chain(local_vm))
     }
 
-    /// Like [`Members::ranked_for`], for VMs of the local domain whose batch process is up.
+    /// Like [`Members::ranked_vms`], for VMs of the local domain whose batch process is up.
     pub fn ranked_batch_vms(&self, now: Duration, local: &VmStatus, key: u64) -> Vec<VmId> {
         let others = self
             .members
--- a/src/wire.rs
+++ b/src/wire.rs
@@ -69,7 +69,7 @@
     Has { digests: Vec<String> },
 }
 
-/// The answer to a [`PeerAsk`].
+/// The answer to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerReply {
     Config(Option<Box<Versioned>>),
